--- a/src/relay/desk.cpp
+++ b/src/relay/desk.cpp
@@ -6,7 +6,7 @@
 namespace cedarplank::relay {
 namespace {
 
-admission::Settings door_settings(const config::RelaySettings& settings) {
+admission::Settings admission_settings(const config::RelaySettings& settings) {
   admission::Settings s;
   s.held_max = static_cast<std::size_t>(settings.dispatcher.open_max);
   s.bytes_max = settings.held_bytes_max, s.lag_target = settings.late_at;
@@ -27,14 +27,14 @@
 trace::Head head_of(const NewMessage& message, const std::string& destination, Time now,
                     const config::RelaySettings& settings) {
   trace::Head head;
-  const auto place = static_cast<std::size_t>(message.message_class);
-  const auto& cls = settings.dispatcher.classes[place];
+  const auto class_index = static_cast<std::size_t>(message.message_class);
+  const auto& cls = settings.dispatcher.classes[class_index];
   head.key = message.idempotency_key, head.destination = destination;
-  head.message_class = settings.names.classes[place];
+  head.message_class = settings.names.classes[class_index];
   if (message.tenant >= 0) head.tenant = settings.names.tenants[static_cast<std::size_t>(message.tenant)];
   head.connection = message.client_connection, head.stream = message.client_stream;
   head.deadline = now + std::min(message.time_left, cls.deadline);
-  // From now on: a client that asks for a short time to live does not thereby make its message late.
+  // The aim counts from now, whatever the time to live: a short TTL does not make a message late.
   head.aim = std::min(now + cls.aim, head.deadline);
   return head;
 }
@@ -61,7 +61,7 @@
 
 Desk::Desk(const config::RelaySettings& settings, std::unique_ptr<Decider> decider, Ports ports)
     : settings_(settings),
-      door_(door_settings(settings)),
+      door_(admission_settings(settings)),
       stories_(ports.story ? std::make_unique<trace::Recorder>(trace_settings(settings), settings.seed,
                                                                std::move(ports.story))
                            : nullptr),
@@ -70,13 +70,13 @@
 Core::Ports Desk::core_ports(const Ports& ports) {
   if (!ports.between)
     return {ports.transport, router_, ports.list, ports.notes, ports.log, stories_.get(), nullptr};
-  const auto between = ports.between(router_);
-  return {between.transport, between.answers, ports.list,      ports.notes,
-          ports.log,         stories_.get(),  &between.witness};
+  const auto interfaces = ports.between(router_);
+  return {interfaces.transport, interfaces.answers, ports.list, ports.notes, ports.log,
+          stories_.get(),       &interfaces.witness};
 }
 
 void Desk::set(const config::RelaySettings& settings) {
-  door_.set(door_settings(settings));
+  door_.set(admission_settings(settings));
   if (stories_) stories_->set(trace_settings(settings));
 }
 
--- a/src/relay/desk.hpp
+++ b/src/relay/desk.hpp
@@ -1,5 +1,5 @@
-// One relay without its I/O: the door, the core and the stories, put together the same for sockets
-// (node::Node) and virtual time (lab::World).
+// One relay without its I/O: admission control, core and trace recorder, assembled in the same way for
+// sockets (node::Node) and for simulation in virtual time (lab::World).
 //
 // All times are in microseconds of one monotonic clock that the host passes in.
 #pragma once
@@ -16,6 +16,7 @@
 
 namespace cedarplank::relay {
 
+// Owns admission control, core and trace recorder, and routes each final answer to the message's submitter.
 class Desk {
  public:
   struct Ports {
@@ -23,42 +24,43 @@
     ListSource& list;
     Notes& notes;
     Log& log;
-    trace::Recorder::Sink story = {};  // where set, stories are recorded by the settings and handed here
-    // Where set, stands between the core and what is outside; made with where answers go.
+    trace::Recorder::Sink story = {};  // if set, message traces are recorded as configured and passed to it
+    // Interfaces put between the core and the outside, such as the journal's.
     struct Between {
       Transport& transport;
       Answers& answers;
       Witness& witness;
     };
+    // If set, creates those interfaces; `answers` is where they pass final answers on to.
     std::function<Between(Answers& answers)> between = {};
   };
   Desk(const config::RelaySettings& settings, std::unique_ptr<Decider> decider, Ports ports);
 
-  // A message from a client, whose answer goes to `to`. `named` is told its id before any answer can come.
-  // Turned away by the door where the relay is short of buffer, memory or time: never taken, so harmless to
-  // repeat.
+  // Submits a message from a client; its final answer goes to `to`. `named` is called with its id before any
+  // answer can arrive. Admission control rejects the message if the relay is short of buffer, memory or time;
+  // a rejected message was never accepted, so that repeating it is harmless.
   Entry take(Time now, NewMessage message, const std::string& destination, Answers& to,
              const std::function<void(MessageId)>& named);
-  // A message that an earlier run took: see Core::restore().
+  // Restores a message that an earlier run accepted: see Core::restore().
   void restore(Time now, MessageId id, std::shared_ptr<const NewMessage> message,
                const std::string& destination, Time deadline, const Before& before, Answers& to);
-  // Ids below were given out by earlier runs.
+  // New ids start at `id` at the lowest; those below were assigned by earlier runs.
   void number_from(MessageId id) { next_ = std::max(next_, id); }
-  // Its client no longer wants it; no answer is given.
+  // The client cancels the message; no final answer is given.
   void withdraw(Time now, MessageId id);
-  // An attempt has left on a stream of a connection (stream 0: not known).
+  // Records in the trace that an attempt was sent on a stream of a connection (stream 0: not known).
   void carried(Time now, const CallOrder& call, std::uint64_t connection, std::uint32_t stream);
-  // What may change in service has changed.
+  // Applies changed settings, as far as they may change while the relay runs.
   void set(const config::RelaySettings& settings);
 
   Core& core() { return core_; }
   const Core& core() const { return core_; }
   admission::Door& door() { return door_; }
   const admission::Door& door() const { return door_; }
-  const trace::Recorder* stories() const { return stories_.get(); }
+  const trace::Recorder* stories() const { return stories_.get(); }  // null if traces are not recorded
 
  private:
-  // Answers go to whoever handed the message in.
+  // Routes final answers to the submitters of the messages.
   struct Router final : Answers {
     struct Place {
       Answers* to = nullptr;
@@ -68,7 +70,8 @@
     explicit Router(admission::Door& d) : door(d) {}
     admission::Door& door;
     std::map<MessageId, Place> places;
-    Answers* take(MessageId id);  // also tells the door
+    // Removes the message's entry, also from admission control; null if there is none.
+    Answers* take(MessageId id);
     void served(MessageId id, const Ending& ending) override;
     void refused(MessageId id, Time come_back, const Account& account) override;
     void failed(MessageId id, const Account& account) override;
--- a/src/relay/fate.hpp
+++ b/src/relay/fate.hpp
@@ -1,17 +1,18 @@
-// What may be said of a message when the relay itself must end it: on the way out, past the module.
-// Free of I/O and state.
+// Chooses the final answer of a message that the relay itself must end, for example at shutdown, without a
+// decision of the module. Has no I/O and no state.
 #pragma once
 
 #include "cedarplank/dispatcher.hpp"
 
 namespace cedarplank::relay {
 
-// What is known of a message's attempts.
+// What is known about a message's attempts.
 struct History {
   bool may_have_run = false;  // an attempt ended without proof that it never ran
   bool out = false;           // an attempt has no outcome yet
 };
 
+// The final answer: see fate_at_stop().
 enum class Fate { refuse, fail };
 
 // Whether an outcome proves that the call never ran (rule 2).
@@ -19,8 +20,9 @@
   return outcome == Outcome::full || outcome == Outcome::connect_failed || outcome == Outcome::not_sent;
 }
 
-// Refused means that trying again is harmless: always for safe messages, and for keyed ones whose key every
-// endpoint knows; for the others only if no attempt may have run. Failed promises nothing.
+// `refuse` tells the client that submitting the message again is harmless. That always holds for safe
+// messages and for keyed messages whose key is known to every endpoint; for others only if no attempt may
+// have run. `fail` promises nothing.
 constexpr Fate fate_at_stop(const ClassSettings& cls, const History& history) {
   if (cls.effect == Effect::safe) return Fate::refuse;
   if (cls.effect == Effect::keyed && cls.group == KeyGroup::all) return Fate::refuse;
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -5,7 +5,8 @@
 namespace cedarplank::relay {
 namespace {
 
-int place_of(const std::vector<std::string>& names, const std::string& name) {
+// The position of a name in a list; -1 if it is not there.
+int index_of(const std::vector<std::string>& names, const std::string& name) {
   const auto it = std::find(names.begin(), names.end(), name);
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
@@ -28,31 +29,32 @@
 
 std::optional<Rejection> Intake::check(const Request& r, NewMessage& m) const {
   using Why = Rejection::Why;
-  const auto bad = [](std::string detail) { return Rejection{Why::malformed, std::move(detail)}; };
-  m.message_class = place_of(settings_.names.classes, r.message_class);
+  const auto malformed = [](std::string detail) { return Rejection{Why::malformed, std::move(detail)}; };
+  m.message_class = index_of(settings_.names.classes, r.message_class);
   if (m.message_class < 0) return Rejection{Why::no_class, "no class is named '" + r.message_class + "'"};
-  if (!r.ttl) return bad("the TTL field is missing or no whole number of seconds (RFC 8030 section 5.2)");
+  if (!r.ttl)
+    return malformed("the TTL field is missing or no whole number of seconds (RFC 8030 section 5.2)");
   m.time_left = *r.ttl;
   const auto& cls = settings_.dispatcher.classes[static_cast<std::size_t>(m.message_class)];
   if (cls.effect == Effect::keyed && r.idempotency_key.empty())
-    return bad("class '" + r.message_class + "' is keyed: the Idempotency-Key field is missing");
-  if (r.idempotency_key.size() > 256) return bad("Idempotency-Key exceeds 256 characters");
+    return malformed("class '" + r.message_class + "' is keyed: the Idempotency-Key field is missing");
+  if (r.idempotency_key.size() > 256) return malformed("Idempotency-Key exceeds 256 characters");
   if (r.has_topic && !valid_topic(r.topic))
-    return bad("Topic is not up to 32 characters of base64url (RFC 8030 section 5.4)");
+    return malformed("Topic is not up to 32 characters of base64url (RFC 8030 section 5.4)");
   if (!r.tenant.empty()) {
-    m.tenant = place_of(settings_.names.tenants, r.tenant);
-    if (m.tenant < 0) return bad(settings_.tenant_field + " names no tenant: '" + r.tenant + "'");
+    m.tenant = index_of(settings_.names.tenants, r.tenant);
+    if (m.tenant < 0) return malformed(settings_.tenant_field + " names no tenant: '" + r.tenant + "'");
   }
   for (const auto* address : {&r.recipient, &r.sender})
     if (!address->empty() && !valid_address(*address))
-      return bad("Recipient and Sender are up to 20 digits or letters, after a + or not");
-  // What goes on to endpoints must not break their field section (RFC 9110 section 5.5).
+      return malformed("Recipient and Sender are up to 20 digits or letters, after a + or not");
+  // Values that are forwarded to endpoints must not corrupt the header section there (RFC 9110 section 5.5).
   for (const auto* text : {&r.idempotency_key, &r.content_type, &r.content_encoding, &r.urgency}) {
-    const bool broken = text->size() > 1024 || std::any_of(text->begin(), text->end(), [](unsigned char c) {
-                          return c < 0x20 || c == 0x7f;
-                        });
-    if (broken || (!text->empty() && (text->front() == ' ' || text->back() == ' ')))
-      return bad("a field value can't be passed on");
+    const bool invalid = text->size() > 1024 || std::any_of(text->begin(), text->end(), [](unsigned char c) {
+                           return c < 0x20 || c == 0x7f;
+                         });
+    if (invalid || (!text->empty() && (text->front() == ' ' || text->back() == ' ')))
+      return malformed("a field value can't be passed on");
   }
   m.idempotency_key = r.idempotency_key, m.topic = r.topic;
   if (cls.ordered) m.order_key = r.topic.empty() ? r.recipient : r.topic;
--- a/src/relay/partner_book.cpp
+++ b/src/relay/partner_book.cpp
@@ -30,9 +30,10 @@
       if (it != gone_.end()) before = &it->second;
     }
     if (before != nullptr && !before->same_place(e)) {
-      update.problems.push_back("endpoint '" + e.id + "' moved from " + before->destination + " at " +
-                                before->address + before->path + " to " + e.destination + " at " + e.address +
-                                e.path + ": a new place needs a new id; the old one is treated as gone");
+      update.problems.push_back(
+          "endpoint '" + e.id + "' moved from " + before->destination + " at " + before->address +
+          before->path + " to " + e.destination + " at " + e.address + e.path +
+          ": a new destination or address needs a new id; the endpoint is treated as gone");
       continue;
     }
     if (e.listing == Listing::gone) continue;
@@ -65,7 +66,7 @@
 }
 
 std::optional<DestinationId> PartnerBook::destination(const std::string& name) const {
-  // A destination whose last endpoint has left is no destination: its messages could only wait for their end.
+  // A destination without listed endpoints is not returned: its messages could only wait for their deadline.
   if (active_.count(name) == 0) return std::nullopt;
   return ids_.at(name);
 }
--- a/src/relay/partner_book.hpp
+++ b/src/relay/partner_book.hpp
@@ -1,5 +1,5 @@
-// What the relay knows of its partner list: compares a new list with the last one and tells the module the
-// whole list once, then changes. Free of I/O.
+// Registry of the partner list: destinations and their endpoints. Compares each new list with the last one
+// and produces what the module needs: the whole list once, then changes. Does no I/O.
 #pragma once
 
 #include <deque>
@@ -12,39 +12,44 @@
 
 namespace cedarplank::relay {
 
+// Holds the current list and maps destination names to ids.
 class PartnerBook {
  public:
   struct Update {
-    bool whole = false;                 // else changes
-    std::vector<Endpoint> endpoints;    // as the module takes them
-    std::vector<std::string> problems;  // entries that were left as they are, and why
+    bool whole = false;                 // the whole list; otherwise changes
+    std::vector<Endpoint> endpoints;    // in the module's form
+    std::vector<std::string> problems;  // entries that were not applied, and why
   };
-  // Takes a list that was read at `now`. An id that moves to another destination or address is not followed:
-  // calls out there, and what is known of the place, would be taken for the new one's.
+  // Applies a list that was read at `now`. An entry that gives a known id another destination or address is
+  // not applied: calls that are out, and what is known about the old address, would be attributed to the new
+  // one.
   Update take(const config::PartnerList& list, Time now);
 
+  // The id of a destination that has a listed endpoint; nothing otherwise.
   std::optional<DestinationId> destination(const std::string& name) const;
-  // The same, also for one that no list has named yet.
+  // The id of a destination, also of one that is in no list; a new name is given an id.
   DestinationId number_of(const std::string& name) { return intern(name); }
-  int kind_of(DestinationId id) const;  // 0 where it has no endpoint
+  int kind_of(DestinationId id) const;  // 0 if it never had an endpoint
+  // Null if the endpoint is not listed.
   const config::PartnerEndpoint* endpoint(const EndpointId& id) const;
   const std::string& name_of(DestinationId id) const { return names_[static_cast<std::size_t>(id)]; }
   bool empty() const { return now_.empty(); }
   config::PartnerList list() const;
 
  private:
-  static constexpr std::size_t kGoneRemembered = 10'000;
+  static constexpr std::size_t kGoneRemembered = 10'000;  // endpoints that are no longer listed
   DestinationId intern(const std::string& name);
   Endpoint as_event(const config::PartnerEndpoint& e);
   std::map<std::string, DestinationId> ids_;  // of destinations; never reused while the relay runs
   std::vector<std::string> names_;
-  std::map<EndpointId, config::PartnerEndpoint> now_;   // listed
-  std::map<EndpointId, config::PartnerEndpoint> gone_;  // where they last were, oldest forgotten
-  std::deque<EndpointId> gone_order_;
-  std::map<EndpointId, Time> since_;
-  std::map<std::string, int> active_;  // endpoints listed of each destination
+  std::map<EndpointId, config::PartnerEndpoint> now_;  // in the current list
+  std::map<EndpointId, config::PartnerEndpoint>
+      gone_;                           // last address of those no longer listed; the oldest is dropped
+  std::deque<EndpointId> gone_order_;  // oldest first
+  std::map<EndpointId, Time> since_;   // when an endpoint was added, if after the first list
+  std::map<std::string, int> active_;  // number of listed endpoints by destination
   std::map<DestinationId, int> kinds_;
-  bool first_ = true;
+  bool first_ = true;  // no list has been applied yet
   std::int64_t version_ = 0;
 };
 
