--- a/src/admission/door.cpp
+++ b/src/admission/door.cpp
@@ -32,27 +32,29 @@
 }
 
 double Door::fair_share(int tenant) const {
-  const double mine = weight(tenant), all = weights_ + (holdings_.count(tenant) > 0 ? 0 : mine);
-  return static_cast<double>(settings_.held_max) * mine / all;
+  const double own = weight(tenant), total = weights_ + (holdings_.count(tenant) > 0 ? 0 : own);
+  return static_cast<double>(settings_.held_max) * own / total;
 }
 
 Answer Door::ask(int tenant, std::int64_t bytes) const {
   if (held_ >= settings_.held_max) return Answer::full;
   if (bytes_ + bytes > settings_.bytes_max) return Answer::no_memory;
   const auto it = holdings_.find(tenant);
-  const Holding mine = it == holdings_.end() ? Holding{} : it->second;
-  const double part = fair_share(tenant) / static_cast<double>(settings_.held_max);
-  const bool short_of =
+  const Holding own = it == holdings_.end() ? Holding{} : it->second;
+  const double fraction = fair_share(tenant) / static_cast<double>(settings_.held_max);
+  const bool short_of_buffer =
       static_cast<double>(held_) >= settings_.share_from * static_cast<double>(settings_.held_max);
   const bool short_of_bytes =
       static_cast<double>(bytes_) >= settings_.share_from * static_cast<double>(settings_.bytes_max);
-  if (short_of && static_cast<double>(mine.messages) + 1 > fair_share(tenant)) return Answer::over_share;
+  if (short_of_buffer && static_cast<double>(own.messages) + 1 > fair_share(tenant))
+    return Answer::over_share;
   if (short_of_bytes &&
-      static_cast<double>(mine.bytes + bytes) > part * static_cast<double>(settings_.bytes_max))
+      static_cast<double>(own.bytes + bytes) > fraction * static_cast<double>(settings_.bytes_max))
     return Answer::over_share;
-  // Late with the work: what is held already is the work. Who holds more than a part of it waits, so that one
-  // tenant's flood is not everybody's delay; who holds less still comes in.
-  if (overloaded_ && static_cast<double>(mine.messages) >= std::max(1.0, part * static_cast<double>(held_)))
+  // Under overload the messages held are the work. A tenant that holds its share of them or more is rejected,
+  // so that one tenant's flood does not delay the others; a tenant that holds less is still accepted.
+  if (overloaded_ &&
+      static_cast<double>(own.messages) >= std::max(1.0, fraction * static_cast<double>(held_)))
     return Answer::overloaded;
   return Answer::take;
 }
@@ -79,7 +81,8 @@
   least_lag_ = std::min(least_lag_, lag);
   if (now < interval_from_ + settings_.lag_interval) return;
   overloaded_ = least_lag_ > settings_.lag_target;
-  // Halved and raised as TCP does its window: quickly down, slowly up, so that clients share what there is.
+  // Decreased by half and raised in small steps, like TCP's congestion window, so that clients share the
+  // capacity.
   if (overloaded_)
     streams_ = std::max(settings_.streams_min, streams_ / 2);
   else
@@ -89,7 +92,8 @@
 
 void Door::set(const Settings& settings) {
   settings_ = settings;
-  // Weights are quotas, in whatever measure: who has none must not count as next to nothing beside them.
+  // Weights are quotas in an arbitrary unit: a tenant without one must not count as next to nothing beside
+  // them.
   double sum = 0, n = 0;
   for (const double w : settings.weights)
     if (w > 0) sum += w, n++;
--- a/src/pool/pool.cpp
+++ b/src/pool/pool.cpp
@@ -4,15 +4,15 @@
 
 namespace cedarplank::pool {
 
-bool Gate::enter(const std::string& who) {
-  // Those that wait come first: who asks out of turn joins the end.
-  const bool first = queue_.empty() || queue_.front() == who;
+bool Gate::enter(const std::string& name) {
+  // Queued names come first; a request out of turn joins the end of the queue.
+  const bool first = queue_.empty() || queue_.front() == name;
   if (inside_ < most_ && first) {
-    forget(who);
+    forget(name);
     inside_++;
     return true;
   }
-  if (queued_.insert(who).second) queue_.push_back(who);
+  if (queued_.insert(name).second) queue_.push_back(name);
   return false;
 }
 
@@ -21,9 +21,9 @@
   return queue_.front();
 }
 
-void Gate::forget(const std::string& who) {
-  if (queued_.erase(who) == 0) return;
-  queue_.erase(std::find(queue_.begin(), queue_.end(), who));
+void Gate::forget(const std::string& name) {
+  if (queued_.erase(name) == 0) return;
+  queue_.erase(std::find(queue_.begin(), queue_.end(), name));
 }
 
 const char* text_of(Why why) {
@@ -31,13 +31,13 @@
     case Why::idle:
       return "idle";
     case Why::goaway:
-      return "the endpoint takes no more calls on it";
+      return "the endpoint accepts no more calls on this connection";
     case Why::unlisted:
       return "the endpoint is no longer listed";
     case Why::unhealthy:
-      return "no answer when asked whether it lives";
+      return "connection closed: PING or enquire_link not answered";
     case Why::asked:
-      return "idle connections were to be closed";
+      return "closing of idle connections was requested";
     case Why::connect_timeout:
       return "not ready for calls in time";
   }
@@ -82,7 +82,7 @@
   Link& l = it->second;
   release(l);
   l.state = Link::State::standing, l.since = l.heard_at = now, l.streams_max = streams_max;
-  // More of them stand than the cap told: it is no longer true.
+  // More connections are ready than the observed limit: it no longer applies.
   const auto open = std::count_if(links_.begin(), links_.end(),
                                   [](const auto& x) { return x.second.state == Link::State::standing; });
   if (cap_ > 0 && open > cap_) cap_ = 0;
@@ -97,7 +97,7 @@
   const auto it = links_.find(id);
   if (it == links_.end()) return;
   Link& l = it->second;
-  l.heard_at = now, l.suspect = false;  // whatever it was that came, the peer lives
+  l.heard_at = now, l.suspect = false;  // any input proves that the peer is alive
   if (!l.probe_from) l.asked_at = 0;
 }
 
@@ -105,7 +105,7 @@
   const auto it = links_.find(id);
   if (it == links_.end()) return std::nullopt;
   Link& l = it->second;
-  // Late, but alive after all: a peer that stood still for a while.
+  // Even a late answer proves that the peer is alive: it may have been paused for a while.
   l.asked_at = 0, l.suspect = false;
   if (!l.probe_from) return std::nullopt;
   const Time latency = now - *l.probe_from;
@@ -123,8 +123,9 @@
   if (it == links_.end() || it->second.state != Link::State::standing) return;
   Link& l = it->second;
   l.state = Link::State::draining;
-  // In use and now without a successor: one is opened before a call must wait for it. All relays get their
-  // GOAWAY at the same moment, so they spread; a call that waits connects at once all the same.
+  // The last ready connection, and in use: its replacement is opened before a call has to wait for one. All
+  // relays get their GOAWAY at the same moment, so the start is spread over a random time; a call that waits
+  // still connects at once.
   const bool in_use = l.out > 0 || now - l.since < settings_.idle / 4;
   if (in_use && !any_standing() && !any_connecting() && listed_)
     replace_at_ = now + static_cast<Time>(
@@ -152,7 +153,7 @@
   const auto open =
       std::count_if(links_.begin(), links_.end(), [this](const auto& x) { return usable(x.second); });
   if (open > 0) {
-    // Others stand and this one was turned away: the endpoint's table of connections is full.
+    // Other connections are ready and this one was refused: the endpoint has reached its connection limit.
     cap_ = static_cast<int>(open), cap_until_ = now + settings_.cap_memory;
   } else if (!any_connecting()) {
     loss.no_connection = recall();
@@ -174,14 +175,15 @@
 }
 
 bool Pool::has_room(const Link& l) const {
-  // Nothing is put behind bytes that the endpoint doesn't read: it could no longer be called back.
+  // No call is queued behind bytes that the endpoint doesn't read: it could no longer be cancelled unsent.
   return usable(l) && !l.blocked &&
          static_cast<std::uint32_t>(l.out) <
              std::min(l.streams_max, static_cast<std::uint32_t>(settings_.streams_max));
 }
 
-// The fullest below the risk, so that spare connections become idle and go; beyond it the emptiest, so that
-// what one loss costs stays least.
+// Picks the connection for the next call: the fullest one below calls_at_risk, so that spare connections
+// become idle and close; if there is none, the one with the fewest calls, so that the loss of a connection
+// costs least.
 std::map<LinkId, Pool::Link>::iterator Pool::pick() {
   auto best = links_.end();
   for (auto it = links_.begin(); it != links_.end(); ++it) {
@@ -208,7 +210,7 @@
     }
     if (l.asked_at > 0 && now >= l.asked_at + settings_.ping_timeout) l.suspect = true;
     if (l.out <= 0) {
-      // Taken out at once: the same steps must not submit a call on what they close.
+      // Marked as closing at once, so that the same steps don't submit a call on it.
       const auto before = out.size();
       if (l.state == Link::State::draining) {
         close(Why::goaway);
@@ -255,26 +257,27 @@
 
 void Pool::connect(Time now, std::vector<Step>& out) {
   if (now >= cap_until_) cap_ = 0;
-  int open = 0, standing = 0, connecting = 0, easy = 0;
+  int open = 0, ready = 0, connecting = 0, below_risk = 0;
   for (const auto& [id, l] : links_) {
     if (l.state == Link::State::closing || l.state == Link::State::draining || l.suspect) continue;
     open++;
     connecting += l.state == Link::State::connecting;
-    standing += usable(l);
-    easy += usable(l) && l.out < settings_.calls_at_risk;
+    ready += usable(l);
+    below_risk += usable(l) && l.out < settings_.calls_at_risk;
   }
-  const bool at_risk = standing > 0 && easy == 0;
-  // Kept apart from its time, which is over now: it may have to wait at the gate. An endpoint that left the
-  // list meanwhile needs no successor; its time would stay due for ever and keep the host turning.
+  const bool at_risk = ready > 0 && below_risk == 0;
+  // A due replacement is kept as a flag, apart from its time: it may have to wait for the handshake limit. An
+  // endpoint that left the list meanwhile needs no replacement; a time left set would stay due for ever and
+  // keep the host busy.
   if (now >= replace_at_) replace_at_ = kNever, replace_ = true;
   if (open > 0 || !listed_) replace_at_ = kNever, replace_ = false;
   const bool wanted = !waiting_.empty() || probe_wanted_ || at_risk || replace_;
-  // The first alone; then no more at once than stand already, so that an endpoint sees them double, not
-  // burst. One spare is enough.
-  const int most = cap_ > 0 ? std::min(cap_, settings_.connections_max) : settings_.connections_max;
-  const bool may =
-      open < most && connecting < std::max(1, standing) && (connecting == 0 || !waiting_.empty());
-  if (!wanted || !listed_ || !may) return gate_.forget(name_);
+  // The first connection is opened alone; after that no more at once than are ready already, so that an
+  // endpoint sees their number double at most. Without waiting calls, one connection in progress is enough.
+  const int open_max = cap_ > 0 ? std::min(cap_, settings_.connections_max) : settings_.connections_max;
+  const bool allowed =
+      open < open_max && connecting < std::max(1, ready) && (connecting == 0 || !waiting_.empty());
+  if (!wanted || !listed_ || !allowed) return gate_.forget(name_);
   if (!gate_.enter(name_)) return;
   replace_at_ = kNever, replace_ = false;
   const LinkId id = next_link_++;
--- a/src/pool/pool.hpp
+++ b/src/pool/pool.hpp
@@ -1,9 +1,9 @@
-// Which connection carries which call to one endpoint, and how many connections it gets. Free of I/O and
-// clock: the gateway's back drives it on sockets, the lab in virtual time.
+// Connection pool of one endpoint: decides how many connections are open and which of them carries which
+// call. Has no I/O and no clock: the endpoint driver runs it on sockets, the simulation in virtual time.
 //
-// What it must not decide: whether, when and where a message is sent. It takes the calls that the module has
-// decided on and gives up none that has left: a connection that looks dead takes nothing new, but what is out
-// there stays out until the module gives it up. docs/design/pool.md weighs the options.
+// The pool must not decide whether, when or where a message is sent. It carries the calls that the module has
+// decided on and never gives up one that has been sent: a connection that looks dead gets no new calls, but
+// calls that are out on it stay out until the module gives them up. docs/design/pool.md weighs the options.
 //
 // All times are in microseconds of one monotonic clock that the host passes in.
 #pragma once
@@ -28,27 +28,29 @@
 struct Settings {
   int connections_max = 8;  // to one endpoint
   int streams_max = 100;    // calls on one connection, if the peer allows more
-  int calls_at_risk = 50;   // on one connection; beyond it another is opened, so that a loss costs no more
-  Time connect_timeout = 1'000'000;  // until the peer is ready for calls: its SETTINGS, its bind_resp
-  Time idle = 10'000'000;            // without calls for so long: closed
-  Time ping_after = 0;               // nothing heard for so long: asked whether it lives; 0: never
-  Time ping_timeout = 2'000'000;     // no answer in this time: it takes no more calls
-  Time cap_memory = 30'000'000;      // how long a cap of the endpoint's on connections is believed
-  Time replace_spread = 1'000'000;   // a replacement that nobody waits for starts within this time
+  int calls_at_risk = 50;   // calls on one connection before another is opened, to limit the cost of a loss
+  Time connect_timeout = 1'000'000;  // until the peer is ready for calls: SETTINGS or bind_resp
+  Time idle = 10'000'000;            // a connection without calls for this long is closed
+  Time ping_after = 0;               // nothing received for this long: sends a PING or enquire_link; 0: never
+  Time ping_timeout = 2'000'000;     // no answer to it within this time: the connection gets no new calls
+  Time cap_memory = 30'000'000;      // how long an observed connection limit of the endpoint is kept
+  Time replace_spread = 1'000'000;   // random delay of a replacement for which no call is waiting, at most
 };
 
-// How many handshakes a relay has in progress over all endpoints: after a loss of many connections at once
-// the rest queue, first come first served, instead of all going out together.
+// Limits the handshakes that a relay has in progress over all endpoints: when many connections are lost at
+// once, the reconnects beyond the limit queue, first come first served, instead of all starting together.
 class Gate {
  public:
-  explicit Gate(int most) : most_(most) {}
-  // May `who` start a handshake now? If not, it is remembered for next().
-  bool enter(const std::string& who);
+  explicit Gate(int limit) : most_(limit) {}
+  // Whether `name` may start a handshake now. If not, it is queued for next().
+  bool enter(const std::string& name);
+  // A handshake has ended.
   void leave() { inside_--; }
-  // Who has waited longest and may come in now; nothing where no one waits or there is no room.
+  // The first in the queue, if it may start now; nothing if none waits or the limit is reached.
   std::optional<std::string> next();
-  void forget(const std::string& who);
-  void set_most(int most) { most_ = most; }
+  // Removes `name` from the queue.
+  void forget(const std::string& name);
+  void set_most(int limit) { most_ = limit; }
   int inside() const { return inside_; }
   std::size_t queued() const { return queue_.size(); }
 
@@ -58,82 +60,103 @@
   std::set<std::string> queued_;
 };
 
-enum class Why { idle, goaway, unlisted, unhealthy, asked, connect_timeout };
+// Why a connection is closed.
+enum class Why {
+  idle,             // without calls for Settings::idle
+  goaway,           // the peer accepts no more calls on it
+  unlisted,         // the endpoint is no longer in the list
+  unhealthy,        // a PING or enquire_link was not answered
+  asked,            // close_idle() was called
+  connect_timeout,  // not ready for calls in time
+};
 const char* text_of(Why why);
 
+// What the driver is to do next.
 struct Step {
   enum class Do { connect, submit, ping, close };
   Do what = Do::connect;
-  LinkId link = 0;      // for connect: the new one's
-  CallId call = 0;      // submit
-  Why why = Why::idle;  // close
+  LinkId link = 0;      // for connect: the id of the new connection
+  CallId call = 0;      // for submit
+  Why why = Why::idle;  // for close
 };
 
+// The connections and waiting calls of one endpoint.
 class Pool {
  public:
-  // `next_link` is the host's counter of connections.
+  // `next_link` is the host's counter for connection ids, shared by all pools.
   Pool(std::string name, const Settings& settings, Gate& gate, LinkId& next_link, std::uint64_t seed);
   ~Pool();
   Pool(const Pool&) = delete;
   Pool& operator=(const Pool&) = delete;
 
-  // Calls.
+  // Calls. wait() queues one until a connection can carry it.
   void wait(CallId call) { waiting_.push_back(call); }
-  // Submitted, but their connections had no room after all; before the others, in this order.
+  // Puts calls back whose connections turned out to have no capacity: ahead of the others, in this order.
   void wait_again(const std::vector<CallId>& calls) {
     waiting_.insert(waiting_.begin(), calls.begin(), calls.end());
   }
-  bool withdraw(CallId call);        // true: it was still waiting
-  std::vector<CallId> recall();      // takes back all that wait
-  void over(LinkId link, Time now);  // one of its calls has ended, in whatever way
+  bool withdraw(CallId call);        // removes a waiting call; false if it was not waiting
+  std::vector<CallId> recall();      // removes and returns all waiting calls
+  void over(LinkId link, Time now);  // a call on the connection has ended, with any outcome
 
   // Connections.
   void standing(LinkId link, Time now, std::uint32_t streams_max);  // the peer is ready for calls
   void set_streams_max(LinkId link, std::uint32_t streams_max);
-  void heard(LinkId link, Time now);
-  std::optional<Time> pong(LinkId link, Time now);  // a latency where a probe had asked
+  void heard(LinkId link, Time now);                // something was received
+  std::optional<Time> pong(LinkId link, Time now);  // the latency, if this answers a probe
   void set_blocked(LinkId link, bool blocked);      // the peer does not read what was written
-  void draining(LinkId link, Time now);             // GOAWAY, unbind: takes no more calls
-  void closing(LinkId link);                        // being closed from this side; counts no more
+  void draining(LinkId link, Time now);             // GOAWAY or unbind: no new calls
+  void closing(LinkId link);                        // this side is closing it; no longer counted
   struct Loss {
-    std::vector<CallId> no_connection;  // calls that waited for it alone: nothing of them was sent
-    std::optional<Time> probe;          // a probe that it ends, after this time
+    std::vector<CallId>
+        no_connection;          // calls that waited for this connection only; nothing of them was sent
+    std::optional<Time> probe;  // time since the start of a probe that fails with the connection
     bool was_standing = false;
   };
+  // The connection has closed or could not be opened.
   Loss lost(LinkId link, Time now);
 
+  // Closes the connections without calls at the next steps().
   void close_idle() { close_idle_ = true; }
-  void probe(Time now);  // by PING or enquire_link, on a connection that stands or on a new one
+  void probe(Time now);  // by PING or enquire_link, on a ready connection or a new one
   void set_listed(bool listed) { listed_ = listed; }
 
-  // What is to be done now; to be asked after inputs and at next_due().
+  // Appends what is to be done now; to be called after inputs and at next_due().
   void steps(Time now, std::vector<Step>& out);
   Time next_due() const;
 
+  // The endpoint is unlisted and nothing is left to do for it.
   bool done() const { return !listed_ && links_.empty() && waiting_.empty(); }
   bool any_standing() const;
   bool any_connecting() const;
   std::size_t connections() const { return links_.size(); }
   std::size_t waiting() const { return waiting_.size(); }
-  int cap() const { return cap_; }  // connections at which the endpoint turned others away; 0: unknown
+  int cap() const {
+    return cap_;
+  }  // open connections when the endpoint refused another; 0: no limit observed
 
  private:
   struct Link {
     enum class State { connecting, standing, draining, closing };
     State state = State::connecting;
-    Time since = 0;  // of connecting; when standing: since its last call ended
-    Time heard_at = 0, asked_at = 0;
+    Time since = 0;     // start of connecting; then when it became ready or its last call ended
+    Time heard_at = 0;  // when something was last received
+    Time asked_at = 0;  // when an unanswered PING was sent; 0: none
     std::uint32_t streams_max = 0;
-    int out = 0;
-    bool blocked = false, suspect = false, gated = false;
-    std::optional<Time> probe_from;
+    int out = 0;                     // calls without an outcome
+    bool blocked = false;            // the peer does not read what was written
+    bool suspect = false;            // a PING was not answered in time
+    bool gated = false;              // counted as a handshake in progress
+    std::optional<Time> probe_from;  // when the probe was requested for which a PING is out
   };
   bool usable(const Link& l) const { return l.state == Link::State::standing && !l.suspect; }
   bool has_room(const Link& l) const;
   std::map<LinkId, Link>::iterator pick();
+  // Closes, pings and times out connections.
   void look_after(Time now, std::vector<Step>& out);
   void submit(Time now, std::vector<Step>& out);
   void connect(Time now, std::vector<Step>& out);
+  // Ends the connection's handshake, if it is counted as one in progress.
   void release(Link& l);
   Time idle_end(const Link& l) const { return l.since + settings_.idle; }
 
@@ -146,10 +169,10 @@
   std::deque<CallId> waiting_;
   bool listed_ = true, close_idle_ = false;
   std::optional<Time> probe_wanted_;
-  Time replace_at_ = kNever;
-  bool replace_ = false;
+  Time replace_at_ = kNever;  // when a replacement of a draining connection is due
+  bool replace_ = false;      // it is due, and not started yet
   int cap_ = 0;
-  Time cap_until_ = 0;
+  Time cap_until_ = 0;  // when cap_ expires
 };
 
 }  // namespace cedarplank::pool
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,4 +1,4 @@
-// The core, the partner book, fates and the wire's meaning, without sockets.
+// Tests of the core, the partner registry, final answers and HTTP semantics, without sockets.
 #include "relay/core.hpp"
 
 #include <gtest/gtest.h>
@@ -14,8 +14,8 @@
 
 constexpr Time kMs = 1'000, kS = 1'000'000;
 
-// Does what the test says, and notes what it was told.
-struct Script final : Decider {
+// Returns the actions that the test has set, and records the events of each round.
+struct ScriptedDecider final : Decider {
   std::vector<std::vector<Event>> rounds;
   std::vector<Action> next;
   void handle(Time, const std::vector<Event>& events, std::vector<Action>& actions) override {
@@ -32,7 +32,8 @@
   }
 };
 
-struct Bench final : Transport, Answers, ListSource, Notes, Log {
+// Implements all interfaces of the core and records what reaches them.
+struct CoreFixture final : Transport, Answers, ListSource, Notes, Log {
   std::vector<CallOrder> sent;
   std::vector<CallId> cancelled, waiting;
   std::map<MessageId, std::string> answers;
@@ -59,14 +60,14 @@
   void line(const std::string&) override {}
 
   Settings settings;
-  Script* script;
+  ScriptedDecider* script;
   std::unique_ptr<Core> core;
-  explicit Bench(int slots = 10, int bundle = 1) {
+  explicit CoreFixture(int slots = 10, int bundle = 1) {
     settings.classes = {
         {}, {.effect = Effect::unsafe}, {.effect = Effect::keyed, .group = KeyGroup::zone, .key_window = kS}};
     settings.kinds = {{false, bundle}};
     settings.slots = slots, settings.open_max = 5, settings.attempts_max = 3;
-    auto owned = std::make_unique<Script>();
+    auto owned = std::make_unique<ScriptedDecider>();
     script = owned.get();
     core = std::make_unique<Core>(settings, std::move(owned), Core::Ports{*this, *this, *this, *this, *this});
     core->list_whole({{"e", 0, 0, 0, Listing::active, 1, 0}, {"f", 0, 0, 0, Listing::active, 1, 0}}, false);
@@ -81,14 +82,14 @@
   }
   void act(std::vector<Action> actions) {
     script->next = std::move(actions);
-    core->note(0, "");  // something to have a round for
+    core->note(0, "");  // an event, so that there is a round
     round();
   }
 };
 
-// Guards against a repeat that waits for a connection until the receiver has forgotten its key (rule 2).
+// A repeat that waits for a connection must not be sent after the receiver has forgotten its key (rule 2).
 TEST(Core, ARepeatDoesNotLeaveAfterItsKeysTime) {
-  Bench b;
+  CoreFixture b;
   b.take(1, 2);
   b.act({action::Send{1, "e", 3 * kS}});
   const Time first = b.now;
@@ -100,9 +101,9 @@
   EXPECT_EQ(b.waiting.size(), 1u);
   EXPECT_EQ(b.core->next_due(), first + kS);
   b.core->turn(b.now = first + kS);
-  EXPECT_TRUE(b.waiting.empty()) << "it may still leave";
+  EXPECT_TRUE(b.waiting.empty()) << "the repeat may still be sent after its key window";
   EXPECT_EQ(b.core->slots_used(), 0u);
-  // One that has left by then stays out.
+  // A repeat that was sent within the window stays out.
   b.take(2, 2);
   b.act({action::Send{2, "e", 3 * kS}});
   b.core->call_ended(b.now, b.sent[2].id, {Outcome::reset, 0, {}, "lost", {}});
@@ -112,7 +113,7 @@
 }
 
 TEST(Core, BatchesARoundsEventsAndTellsTheTimeThatIsLeft) {
-  Bench b;
+  CoreFixture b;
   b.take(1), b.take(2, 0, 60 * kS);
   EXPECT_EQ(b.core->next_due(), b.now + b.settings.tick);
   b.round();
@@ -124,7 +125,7 @@
 }
 
 TEST(Core, OneFinalAnswerWhateverComesLate) {
-  Bench b;
+  CoreFixture b;
   b.take(1), b.round();
   b.act({action::Send{1, "e", kS}, action::Send{1, "f", kS}});
   ASSERT_EQ(b.sent.size(), 2u);
@@ -140,9 +141,10 @@
   EXPECT_EQ(b.core->held(), 0u);
 }
 
-// Found in virtual time: the client gave up while the call waited for a stream, and it was sent afterwards.
+// Guards against sending a call after its message has ended: the client cancelled while the call waited for a
+// stream, and the call was sent afterwards.
 TEST(Core, WhatStillWaitsForAConnectionDoesNotLeaveAfterTheMessagesEnd) {
-  Bench b;
+  CoreFixture b;
   for (MessageId id = 1; id <= 4; id++) b.take(id);
   b.round();
   b.act({action::Send{1, "e", kS}, action::Send{2, "e", kS}, action::Send{3, "e", kS},
@@ -153,7 +155,7 @@
   EXPECT_EQ(b.waiting.size(), 4u);
   b.act({action::Refuse{2, 0}, action::Fail{3}});
   EXPECT_EQ(b.waiting.size(), 2u);
-  std::erase(b.waiting, b.sent[3].id);  // this one has left
+  std::erase(b.waiting, b.sent[3].id);  // this one has been sent
   b.core->call_ended(b.now, b.sent[3].id, {Outcome::served, 0, {}, "", ""});
   EXPECT_TRUE(b.waiting.empty());
   b.round();
@@ -165,13 +167,13 @@
 }
 
 TEST(Core, SlotsAreKeptAndBundlesShareOne) {
-  Bench b(2, 3);
+  CoreFixture b(2, 3);
   for (MessageId id = 1; id <= 5; id++) b.take(id);
   EXPECT_EQ(b.take(6), Core::Taken::full);
   b.round();
   b.act({action::Send{1, "e", kS}, action::Send{2, "e", kS}, action::Send{3, "e", kS},
          action::Send{4, "f", kS}, action::Send{5, "e", kS}});
-  EXPECT_EQ(b.sent.size(), 4u);  // three in one call, one in another; the fifth finds no slot
+  EXPECT_EQ(b.sent.size(), 4u);  // three in one call, one in another; no slot is free for the fifth
   b.round();
   const auto ended = b.script->all<event::AttemptEnded>();
   ASSERT_EQ(ended.size(), 1u);
@@ -179,16 +181,16 @@
   EXPECT_EQ(b.core->slots_used(), 2u);
   for (int i = 0; i < 2; i++)
     b.core->call_ended(b.now, b.sent[static_cast<std::size_t>(i)].id, {Outcome::served, 0, {}, "", ""});
-  EXPECT_EQ(b.core->slots_used(), 2u);  // until all of a bundle have their outcomes
+  EXPECT_EQ(b.core->slots_used(), 2u);  // until all messages of a bundle have their outcomes
   b.core->call_ended(b.now, b.sent[2].id, {Outcome::served, 0, {}, "", ""});
   EXPECT_EQ(b.core->slots_used(), 1u);
 }
 
-// A machine that slept for a day, or a clock read before the last one: with the real module behind it, each
-// message still gets one final answer, and nothing is sent for it after its time.
+// The clock jumps: the machine was suspended for a day, or a time lies before the last one. With the real
+// module, each message still gets one final answer, and nothing is sent for it after its deadline.
 TEST(Core, JumpsOfTheClockLoseAndDoubleNothing) {
   for (const Time jump : {Time{-3'600} * kS, Time{86'400} * kS}) {
-    Bench b;
+    CoreFixture b;
     b.settings.open_max = 100;
     Core core(b.settings, make_dispatcher(b.settings, 1), {b, b, b, b, b});
     core.list_whole({{"e", 0, 0, 0, Listing::active, 1, 0}}, false);
@@ -206,14 +208,14 @@
     if (jump > 0) {
       EXPECT_EQ(b.sent.size(), sent);
     }
-    // Read right again, or going on from there: by its time each message has its answer.
+    // After the jump, or with the clock back at the right time, each message is answered by its deadline.
     for (Time t = std::max(now, now + jump); core.held() > 0 && t < now + std::max<Time>(jump, 0) + 10 * kS;
          t += 10 * kMs)
       core.turn(t);
     EXPECT_EQ(core.held(), 0u) << jump;
     EXPECT_EQ(b.answers.size(), 30u);
-    for (const auto& [id, said] : b.answers)
-      EXPECT_EQ(std::count(said.begin(), said.end(), ' '), 1) << id << said;
+    for (const auto& [id, answer] : b.answers)
+      EXPECT_EQ(std::count(answer.begin(), answer.end(), ' '), 1) << id << answer;
     for (const auto& call : b.sent) EXPECT_GT(call.time_left, 0);
   }
 }
@@ -224,7 +226,7 @@
       {Transport::Recalled::connecting, Outcome::connect_failed},
       {Transport::Recalled::waiting, Outcome::not_sent}};
   for (const auto& [how, outcome] : cases) {
-    Bench b;
+    CoreFixture b;
     b.how = how;
     b.take(1, 1), b.round();
     b.act({action::Send{1, "e", 50 * kMs}});
@@ -238,10 +240,10 @@
   }
 }
 
-// A message that shares its call and may not go elsewhere meanwhile is waited for until its time is up, and
-// then given up for good: its call must not be out, and hold its slot, for ever.
+// A message that shares its call and may not be sent elsewhere meanwhile is waited for until its deadline and
+// then given up for good. Otherwise its call would be out, and hold its slot, for ever.
 TEST(Core, AMessageThatStaysWithItsCallIsGivenUpAtItsDeadline) {
-  Bench b;
+  CoreFixture b;
   b.how = Transport::Recalled::kept;
   b.take(1, 1), b.round();
   b.act({action::Send{1, "e", 50 * kMs}});
@@ -250,17 +252,17 @@
   EXPECT_EQ(b.cancelled.size(), 1u);
   EXPECT_TRUE(b.script->all<event::AttemptEnded>().empty());
   EXPECT_EQ(b.core->held(), 1u);
-  const Time up = b.core->next_due();
-  EXPECT_GT(up, b.now + kS / 2);
+  const Time deadline = b.core->next_due();
+  EXPECT_GT(deadline, b.now + kS / 2);
   b.how = Transport::Recalled::sent;
-  b.now = up;
+  b.now = deadline;
   b.round(), b.round();
   EXPECT_EQ(b.cancelled.size(), 2u);
   EXPECT_EQ(b.script->all<event::AttemptEnded>().at(0).outcome, Outcome::timeout);
 }
 
 TEST(Core, AToldWaitOrADrainCallsBackWhatHasNotLeft) {
-  Bench b;
+  CoreFixture b;
   b.take(1), b.take(2), b.round();
   b.act({action::Send{1, "e", kS}, action::Send{2, "f", kS}});
   b.waiting = {b.sent[1].id};
@@ -278,7 +280,7 @@
 }
 
 TEST(Core, WithdrawnMessagesGetNoAnswerAndNothingNew) {
-  Bench b;
+  CoreFixture b;
   b.take(1), b.round();
   b.act({action::Send{1, "e", kS}});
   b.core->withdraw(b.now, 1), b.core->withdraw(b.now, 1);
@@ -292,7 +294,7 @@
 }
 
 TEST(Core, AStopRefusesOnlyWhatCannotHaveRun) {
-  Bench b;
+  CoreFixture b;
   b.take(1, 0), b.take(2, 1), b.take(3, 1), b.take(4, 2), b.take(5, 1), b.round();
   b.act({action::Send{1, "e", kS}, action::Send{2, "e", kS}, action::Send{4, "e", kS},
          action::Send{5, "e", kS}});
@@ -351,7 +353,7 @@
   ASSERT_EQ(update.problems.size(), 1u);
   ASSERT_EQ(update.endpoints.size(), 1u);
   EXPECT_EQ(update.endpoints[0].listing, Listing::gone);
-  // Gone ones are remembered too; back where it was, it is taken again.
+  // Unlisted endpoints are remembered too; back at its old address, the endpoint is accepted again.
   EXPECT_EQ(book.take({3, {partner("a", "x", "9"), partner("b", "x", "2")}}, 7).problems.size(), 1u);
   EXPECT_EQ(book.take({4, {partner("a", "x", "1"), partner("b", "x", "2")}}, 8).endpoints.size(), 1u);
 }
@@ -396,12 +398,12 @@
     EXPECT_EQ(parse_retry_after(date, "", wall - 7), 7'000'000) << date;
     EXPECT_EQ(parse_retry_after(date, "", wall + 7), 0) << date;
   }
-  // The peer's own clock counts where it tells it.
+  // Dates count from the peer's Date field, if it sends one.
   EXPECT_EQ(parse_retry_after("Sun, 06 Nov 1994 08:49:41 GMT", "Sun, 06 Nov 1994 08:49:37 GMT", wall + 1000),
             4'000'000);
   EXPECT_EQ(retry_after(1), "1");
   EXPECT_EQ(retry_after(2'000'001), "3");
-  // A wait is a wait whatever the status.
+  // A wait counts whatever the status.
   EXPECT_EQ(ending_of_response({{":status", "500"}, {"retry-after", "2"}}, {}, 0).told_wait, 2'000'000);
 }
 
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -1,4 +1,4 @@
-// The relay's door, without sockets.
+// Tests of admission control, without sockets.
 #include "admission/door.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
     ASSERT_EQ(d.ask(0, 10), Answer::take) << i;
     d.taken(0, 10);
   }
-  // Alone it may have everything; there is nobody to keep room for.
+  // A single tenant may use the whole buffer: there is no other to keep capacity for.
   EXPECT_EQ(d.ask(0, 10), Answer::take);
   EXPECT_EQ(d.ask(0, 51), Answer::no_memory);
   for (int i = 95; i < 100; i++) d.taken(0, 0);
@@ -27,7 +27,7 @@
   EXPECT_EQ(d.ask(0, 1'000), Answer::take);
 }
 
-// One tenant sends six times its share: the others' messages come in all the same.
+// One tenant sends six times its share: the other tenants' messages are accepted all the same.
 TEST(Door, AFloodOfOneTenantLeavesTheOthersTheirShare) {
   for (const bool weighted : {false, true}) {
     Settings s{.held_max = 1'000};
@@ -37,7 +37,8 @@
     std::deque<int> held;
     std::map<int, int> asked, taken;
     for (int step = 0; step < 60'000; step++) {
-      // Served: 100 a step of 1,000 asked; tenant 0 asks six times as much as each of the others.
+      // One message is submitted each step and one served every other step; tenant 0 submits six times as
+      // much as each of the others.
       const int dice = static_cast<int>(random(8));
       const int tenant = dice < 6 ? 0 : dice - 5;
       if (step > 5'000) asked[tenant]++;
@@ -48,7 +49,8 @@
       if (step % 2 == 0 && !held.empty()) d.over(held.front(), 100), held.pop_front();
       ASSERT_LE(d.held(), 1'000u);
     }
-    // Half of all can be served. The others asked for a quarter: they get it, the flood the rest.
+    // Half of all messages can be served. The other tenants submit a quarter and get it; tenant 0 gets the
+    // rest.
     for (const int tenant : {1, 2}) EXPECT_GT(taken[tenant], asked[tenant] * 95 / 100) << tenant;
     EXPECT_LT(taken[0], asked[0] / 2);
     EXPECT_GT(taken[0], asked[0] / 4);
@@ -61,7 +63,7 @@
   d.taken(1, 0);
   EXPECT_DOUBLE_EQ(d.fair_share(0), 300);
   EXPECT_DOUBLE_EQ(d.fair_share(1), 900);
-  d.taken(-1, 0), d.taken(0, 0);  // no tenant is one by itself
+  d.taken(-1, 0), d.taken(0, 0);  // messages without tenant count as one tenant
   EXPECT_DOUBLE_EQ(d.fair_share(1), 400);
   EXPECT_DOUBLE_EQ(d.fair_share(2), 225);  // without a weight: the mean
   d.over(1, 0), d.over(0, 0), d.over(-1, 0);
@@ -76,13 +78,13 @@
   };
   go(0, 2'000 * kMs);
   EXPECT_EQ(d.streams(), 400);
-  // A burst that is worked off in between is none.
+  // A burst that is worked off in between is no overload.
   for (int i = 0; i < 20; i++) go(300 * kMs, 200 * kMs), go(20 * kMs, 20 * kMs);
   EXPECT_FALSE(d.overloaded());
   go(300 * kMs, 1'100 * kMs);
   EXPECT_TRUE(d.overloaded());
   EXPECT_LE(d.streams(), 200);
-  // Now who holds most of the work waits, and who holds little comes in.
+  // Now the tenant that holds most is rejected, and tenants that hold little are accepted.
   for (int i = 0; i < 90; i++) d.taken(0, 1);
   for (int i = 0; i < 10; i++) d.taken(1, 1);
   EXPECT_EQ(d.ask(0, 1), Answer::overloaded);
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -1,4 +1,4 @@
-// The pool of connections to an endpoint, without sockets: a model endpoint answers its steps.
+// Tests of the connection pool, without sockets: the tests play the endpoint.
 #include "pool/pool.hpp"
 
 #include <gtest/gtest.h>
@@ -10,17 +10,18 @@
 
 constexpr Time kMs = 1'000, kS = 1'000'000;
 
-struct Rig {
+// A pool with the record of the steps that it asked for.
+struct PoolFixture {
   Settings settings;
   Gate gate{2};
   LinkId next = 1;
   Pool pool{"e", settings, gate, next, 7};
   Time now = kS;
   CallId calls = 0;
-  std::map<LinkId, std::vector<CallId>> on;  // what was submitted where
+  std::map<LinkId, std::vector<CallId>> on;  // calls submitted, by connection
   std::vector<LinkId> connects, pings;
   std::vector<std::pair<LinkId, Why>> closes;
-  std::vector<CallId> failed;  // their only connection got no SETTINGS
+  std::vector<CallId> failed;  // calls whose only connection was never ready
 
   void run() {
     for (std::vector<Step> steps;; steps.clear()) {
@@ -40,11 +41,11 @@
       }
     }
   }
-  void calls_come(int n) {
+  void add_calls(int n) {
     for (int i = 0; i < n; i++) pool.wait(++calls);
     run();
   }
-  LinkId stands(std::uint32_t streams = 100) {
+  LinkId make_ready(std::uint32_t streams = 100) {
     const LinkId id = connects.back();
     pool.standing(id, now, streams);
     run();
@@ -58,25 +59,26 @@
 };
 
 TEST(Pool, OneConnectionUntilItsLossWouldCostTooMuchThenAnother) {
-  Rig r;
+  PoolFixture r;
   r.settings.calls_at_risk = 10;
-  r.calls_come(8);
-  EXPECT_EQ(r.connects.size(), 1u);  // all wait for the one
-  const auto first = r.stands();
+  r.add_calls(8);
+  EXPECT_EQ(r.connects.size(), 1u);  // all wait for the same connection
+  const auto first = r.make_ready();
   EXPECT_EQ(r.on[first].size(), 8u);
   EXPECT_EQ(r.connects.size(), 1u);
-  r.calls_come(4);
+  r.add_calls(4);
   EXPECT_EQ(r.on[first].size(), 12u);  // none waits for the second
   ASSERT_EQ(r.connects.size(), 2u);
-  const auto second = r.stands();
-  r.calls_come(10);
+  const auto second = r.make_ready();
+  r.add_calls(10);
   EXPECT_EQ(r.on[second].size(), 10u);
   EXPECT_EQ(r.on[first].size(), 12u);
   ASSERT_EQ(r.connects.size(), 3u);
-  r.stands();
-  // Little load: the fullest below the risk is used, so that the others become idle and go.
+  r.make_ready();
+  // Under light load the fullest connection below calls_at_risk is used, so that the others become idle and
+  // close.
   r.answered(first, 12), r.answered(second, 7);
-  r.calls_come(1);
+  r.add_calls(1);
   EXPECT_EQ(r.on[second].size(), 4u);
   r.after(r.settings.idle);
   EXPECT_EQ(r.closes.size(), 2u);
@@ -84,56 +86,56 @@
 }
 
 TEST(Pool, KeepsToStreamsConnectionsAndTheCapItMet) {
-  Rig r;
+  PoolFixture r;
   r.settings.connections_max = 5;
-  r.calls_come(20);
-  r.stands(1);  // one stream each
-  r.stands(1);
+  r.add_calls(20);
+  r.make_ready(1);  // one stream each
+  r.make_ready(1);
   EXPECT_EQ(r.pool.waiting(), 18u);
-  // Two connect at once now, as many as stand; the endpoint turns both away: it takes two.
+  // Two connect at once now, as many as are ready; the endpoint refuses both, since its limit is two.
   ASSERT_EQ(r.connects.size(), 4u);
-  EXPECT_TRUE(r.pool.lost(r.connects[2], r.now).no_connection.empty());  // others stand: nothing failed
+  EXPECT_TRUE(r.pool.lost(r.connects[2], r.now).no_connection.empty());  // others are ready: no call failed
   EXPECT_TRUE(r.pool.lost(r.connects[3], r.now).no_connection.empty());
   r.run();
   EXPECT_EQ(r.pool.cap(), 2);
   EXPECT_EQ(r.connects.size(), 4u);
-  r.after(r.settings.cap_memory);  // tried again, in case it has grown
+  r.after(r.settings.cap_memory);  // tried again, in case the limit has been raised
   EXPECT_GT(r.connects.size(), 4u);
-  r.stands(1);
+  r.make_ready(1);
   EXPECT_EQ(r.pool.cap(), 0);
 }
 
 TEST(Pool, WhatWaitsForTheOnlyConnectionFailsWithItAndNothingElse) {
-  Rig r;
-  r.calls_come(3);
+  PoolFixture r;
+  r.add_calls(3);
   const auto loss = r.pool.lost(r.connects[0], r.now);
   EXPECT_EQ(loss.no_connection, (std::vector<CallId>{1, 2, 3}));
   EXPECT_FALSE(loss.was_standing);
-  r.calls_come(1);
-  r.after(r.settings.connect_timeout);  // no SETTINGS come
+  r.add_calls(1);
+  r.after(r.settings.connect_timeout);  // no SETTINGS arrive
   EXPECT_EQ(r.closes.back().second, Why::connect_timeout);
   EXPECT_EQ(r.pool.waiting(), 0u);
   EXPECT_EQ(r.gate.inside(), 0);
 }
 
 TEST(Pool, ADeadConnectionTakesNothingNewButWhatIsOutStaysOut) {
-  Rig r;
+  PoolFixture r;
   r.settings.ping_after = 5 * kS;
-  r.calls_come(2);
-  const auto dead = r.stands();
+  r.add_calls(2);
+  const auto dead = r.make_ready();
   r.after(5 * kS);
   EXPECT_EQ(r.pings, std::vector<LinkId>{dead});
   r.after(r.settings.ping_timeout);
-  r.calls_come(1);  // it connects anew
+  r.add_calls(1);  // opens a new connection
   ASSERT_EQ(r.connects.size(), 2u);
-  const auto fresh = r.stands();
+  const auto fresh = r.make_ready();
   EXPECT_EQ(r.on[fresh].size(), 1u);
   EXPECT_TRUE(r.closes.empty());  // the module alone gives up the two calls
-  // It had only stood still: heard again, it is used again.
+  // The peer had only been paused: once something is received, the connection is used again.
   r.pool.heard(dead, r.now);
   r.answered(dead, 2);
   EXPECT_TRUE(r.closes.empty());
-  // Once more, with nothing out: closed before a call could be lost on it.
+  // Again, with no calls out: it is closed before a call could be lost on it.
   r.after(5 * kS), r.after(r.settings.ping_timeout);
   const std::pair<LinkId, Why> unhealthy{dead, Why::unhealthy};
   EXPECT_EQ(std::count(r.closes.begin(), r.closes.end(), unhealthy), 1);
@@ -158,12 +160,12 @@
     const Time due = pool.next_due();
     EXPECT_LE(due, kS + settings.replace_spread);
     starts.insert(due);
-    // A call that comes before that does not wait for it.
+    // A call that arrives earlier does not wait for that time.
     if (seed % 2) pool.wait(2);
     pool.steps(seed % 2 ? kS + 1 : due, steps);
     ASSERT_EQ(steps.size(), 1u);
     EXPECT_EQ(steps[0].what, Step::Do::connect);
-    // The old one is closed once its call is over.
+    // The old connection is closed once its call has ended.
     pool.over(1, due), steps.clear(), pool.steps(due, steps);
     ASSERT_EQ(steps.size(), 1u);
     EXPECT_EQ(steps[0].why, Why::goaway);
@@ -171,7 +173,7 @@
   EXPECT_GT(starts.size(), 30u);
 }
 
-// A relay that lost all its connections at once has no more handshakes in progress than the gate lets in.
+// A relay that loses all its connections at once never exceeds the handshake limit, and reconnects in order.
 TEST(Pool, AReconnectStormPassesTheGateInOrder) {
   Settings settings;
   Gate gate(5);
@@ -197,7 +199,8 @@
     const auto [pool, link] = connecting.front();
     connecting.erase(connecting.begin());
     order.push_back(pool);
-    if (order.size() == 20) pools[40]->withdraw(41);  // no longer wants one: leaves the queue when asked
+    if (order.size() == 20)
+      pools[40]->withdraw(41);  // needs no connection any more: leaves the queue when its turn comes
     if (order.size() % 7 == 0)
       pool->lost(link, kS);
     else
@@ -218,11 +221,11 @@
   EXPECT_EQ(order, asked);
 }
 
-// Whatever comes: streams and connections within their bounds, no call twice on the way, none forgotten.
+// For random inputs: streams and connections stay within their limits, no call is submitted twice or lost.
 TEST(Pool, RandomUseKeepsItsBounds) {
   for (std::uint32_t seed = 1; seed <= 200; seed++) {
     pcg32 random(seed);
-    Rig r;
+    PoolFixture r;
     r.settings.connections_max = 1 + static_cast<int>(random(4)),
     r.settings.streams_max = 1 + static_cast<int>(random(20));
     r.settings.calls_at_risk = 1 + static_cast<int>(random(30)), r.settings.ping_after = random(2) ? kS : 0;
@@ -233,7 +236,7 @@
       for (const auto id : r.connects) open.insert(id);
       r.connects.clear();
       for (const auto& [id, why] : r.closes) {
-        EXPECT_TRUE(r.on[id].empty()) << "closed with calls out";
+        EXPECT_TRUE(r.on[id].empty()) << "connection closed with calls out";
         open.erase(id), standing.erase(id), drained.erase(id);
         r.pool.lost(id, r.now);
       }
@@ -298,9 +301,9 @@
           r.now += random(3) * 400 * kMs;
       }
       sync();
-      // Found in virtual time: what stays due with nothing to do keeps the host turning.
+      // Something that stays due with nothing to do would keep the host busy.
       ASSERT_GT(r.pool.next_due(), r.now) << "seed " << seed;
-      // Those that drain or look dead are replaced, and come on top.
+      // Connections that drain or look dead are replaced, and come on top of the limit.
       if (r.settings.ping_after == 0) {
         ASSERT_LE(open.size() - drained.size(), static_cast<std::size_t>(r.settings.connections_max));
       }
