--- a/src/admission/door.hpp
+++ b/src/admission/door.hpp
@@ -82,8 +82,8 @@
   double usual_weight_ = 1;  // for tenants without a weight
   bool overloaded_ = false;
   int streams_;
-  Time interval_from_ = -1;  // start of the current interval; negative: none yet
-  Time least_lag_ = 0;       // within it
+  Time interval_from_ = -1,  // start of the current interval; negative: none yet
+      least_lag_ = 0;        // minimum lag in it
 };
 
 }  // namespace cedarplank::admission
--- a/src/pool/pool.hpp
+++ b/src/pool/pool.hpp
@@ -62,12 +62,12 @@
 
 // Why a connection is closed.
 enum class Why {
-  idle,             // without calls for Settings::idle
-  goaway,           // the peer accepts no more calls on it
-  unlisted,         // the endpoint is no longer in the list
-  unhealthy,        // a PING or enquire_link was not answered
-  asked,            // close_idle() was called
-  connect_timeout,  // not ready for calls in time
+  idle,            // without calls for Settings::idle
+  goaway,          // the peer accepts no more calls on it
+  unlisted,        // the endpoint is no longer in the list
+  unhealthy,       // a PING or enquire_link was not answered
+  asked,           // close_idle() was called
+  connect_timeout  // not ready for calls in time
 };
 const char* text_of(Why why);
 
@@ -131,22 +131,21 @@
   bool any_connecting() const;
   std::size_t connections() const { return links_.size(); }
   std::size_t waiting() const { return waiting_.size(); }
-  int cap() const {
-    return cap_;
-  }  // open connections when the endpoint refused another; 0: no limit observed
+  // Connections that were open when the endpoint refused another; 0: no limit observed.
+  int cap() const { return cap_; }
 
  private:
   struct Link {
     enum class State { connecting, standing, draining, closing };
     State state = State::connecting;
     Time since = 0;     // start of connecting; then when it became ready or its last call ended
-    Time heard_at = 0;  // when something was last received
-    Time asked_at = 0;  // when an unanswered PING was sent; 0: none
+    Time heard_at = 0,  // when something was last received
+        asked_at = 0;   // when a PING was sent that is not answered yet; 0: none
     std::uint32_t streams_max = 0;
     int out = 0;                     // calls without an outcome
-    bool blocked = false;            // the peer does not read what was written
-    bool suspect = false;            // a PING was not answered in time
-    bool gated = false;              // counted as a handshake in progress
+    bool blocked = false,            // the peer does not read what was written
+        suspect = false,             // a PING was not answered in time
+        gated = false;               // counted as a handshake in progress
     std::optional<Time> probe_from;  // when the probe was requested for which a PING is out
   };
   bool usable(const Link& l) const { return l.state == Link::State::standing && !l.suspect; }
