--- a/src/pool/pool.hpp
+++ b/src/pool/pool.hpp
@@ -108,9 +108,8 @@
   void draining(LinkId link, Time now);             // GOAWAY or unbind: no new calls
   void closing(LinkId link);                        // this side is closing it; no longer counted
   struct Loss {
-    std::vector<CallId>
-        no_connection;          // calls that waited for this connection only; nothing of them was sent
-    std::optional<Time> probe;  // time since the start of a probe that fails with the connection
+    std::vector<CallId> no_connection;  // calls that waited for this connection only: never sent
+    std::optional<Time> probe;          // time since the request of a probe that fails with the connection
     bool was_standing = false;
   };
   // The connection has closed or could not be opened.
--- a/src/relay/core.hpp
+++ b/src/relay/core.hpp
@@ -136,6 +136,7 @@
   virtual void tell(int peer, const std::string& body) = 0;  // -1: every peer; may be lost
 };
 
+// Receives the decision module's log lines.
 class Log {
  public:
   virtual ~Log() = default;
@@ -203,15 +204,19 @@
   void known(event::Known known) { events_.push_back(std::move(known)); }
   // Counts a message that was rejected before it reached take() with those that take() rejected.
   void turned_away() { counts_.not_taken++; }
-  // The client cancels the message; no final answer is given. Returns the answer that would have been
-  // correct.
+  // The client cancels the message; no final answer is given. Returns the one that would have been correct;
+  // Fate::fail also for a message that is unknown or has ended.
   Fate withdraw(Time now, MessageId id);
 
+  // The transport reports the result of a call; ignored if the call has already ended.
   void call_ended(Time now, CallId call, Ending ending);
   void probe_ended(EndpointId endpoint, Outcome outcome, Time latency);
+  // A note arrived from a peer relay.
   void note(int from, std::string body);
+  // The whole endpoint list; `cached`: an earlier copy instead of a fresh one.
   void list_whole(std::vector<Endpoint> endpoints, bool cached);
   void list_changes(std::vector<Endpoint> endpoints);
+  // The list could not be fetched.
   void list_failed();
 
   // Handles what is due: time-outs, timers, and a decision round if there are events and the tick has passed.
@@ -251,8 +256,8 @@
     History history;    // whether attempts may have run
     std::string last;   // how the last attempt ended
     bool over = false;  // answered, or cancelled by the client
-    const char* no_more =
-        nullptr;  // why an endpoint wants no further attempts; the message ends when its last call does
+    // Why an endpoint wants no further attempts, if it does; the message then ends with its last call.
+    const char* no_more = nullptr;
     std::set<CallId> out;  // calls without an outcome
     Time ran_from = -1;    // when the first attempt that may have run was sent; -1: none
   };
@@ -271,11 +276,15 @@
     Listing listing = Listing::active;
     int zone = 0;
   };
+  // Updates the known endpoints from a list and recalls calls to those that drain or are gone.
   void learn(const std::vector<Endpoint>& endpoints, bool whole);
+  // Ends the calls to the endpoint of which nothing has been sent.
   void recall(const EndpointId& endpoint);
   void report(const Call& call, const Ending& ending, Time latency);
+  // Ends all messages with a deadline up to `until`.
   void end_due(Time now, Time until);
   void end_call(Time now, std::map<CallId, Call>::iterator it, const Ending& ending);
+  // Handles a call whose timeout has passed; the outcome depends on how far it had got.
   void time_out(Time now, CallId id);
   // Ends the message if the endpoint reports that no further attempts may be sent and none is out.
   void heed(Time now, MessageId id, Message& message, Standing standing);
@@ -303,8 +312,8 @@
   std::map<CallId, Call> calls_;
   std::map<EndpointId, Known> known_;
   std::map<std::uint64_t, int> bundles_;  // number of calls out by bundle; each bundle takes one slot
-  std::map<EndpointId, std::pair<std::uint64_t, int>>
-      open_bundles_;  // bundles of this round: id, number of messages
+  // The current bundle of each endpoint in this round: id, number of messages.
+  std::map<EndpointId, std::pair<std::uint64_t, int>> open_bundles_;
   std::set<std::pair<Time, CallId>> timeouts_;
   std::set<std::pair<Time, CallId>> leave_by_;  // repeats of keyed messages, by the end of their key window
   std::priority_queue<std::pair<Time, std::uint64_t>, std::vector<std::pair<Time, std::uint64_t>>,
--- a/src/relay/partner_book.hpp
+++ b/src/relay/partner_book.hpp
@@ -21,8 +21,8 @@
     std::vector<std::string> problems;  // entries that were not applied, and why
   };
   // Applies a list that was read at `now`. An entry that gives a known id another destination or address is
-  // not applied: calls that are out, and what is known about the old address, would be attributed to the new
-  // one.
+  // not applied, and the endpoint is treated as gone: otherwise calls that are out, and what is known about
+  // the old address, would be attributed to the new one.
   Update take(const config::PartnerList& list, Time now);
 
   // The id of a destination that has a listed endpoint; nothing otherwise.
@@ -37,14 +37,14 @@
   config::PartnerList list() const;
 
  private:
-  static constexpr std::size_t kGoneRemembered = 10'000;  // endpoints that are no longer listed
+  static constexpr std::size_t kGoneRemembered = 10'000;  // size of gone_
   DestinationId intern(const std::string& name);
   Endpoint as_event(const config::PartnerEndpoint& e);
   std::map<std::string, DestinationId> ids_;  // of destinations; never reused while the relay runs
   std::vector<std::string> names_;
   std::map<EndpointId, config::PartnerEndpoint> now_;  // in the current list
-  std::map<EndpointId, config::PartnerEndpoint>
-      gone_;                           // last address of those no longer listed; the oldest is dropped
+  // Those no longer listed, as they last were; beyond kGoneRemembered the oldest is dropped.
+  std::map<EndpointId, config::PartnerEndpoint> gone_;
   std::deque<EndpointId> gone_order_;  // oldest first
   std::map<EndpointId, Time> since_;   // when an endpoint was added, if after the first list
   std::map<std::string, int> active_;  // number of listed endpoints by destination
