--- a/src/admission/door.cpp
+++ b/src/admission/door.cpp
@@ -4,8 +4,8 @@
 
 namespace cedarplank::admission {
 
-const char* text_of(Answer answer) {
-  switch (answer) {
+const char* text_of(Answer decision) {
+  switch (decision) {
     case Answer::take:
       return "taken";
     case Answer::full:
--- a/src/admission/door.hpp
+++ b/src/admission/door.hpp
@@ -38,7 +38,7 @@
   over_share,  // buffer or memory is short, and this tenant holds its fair share
   overloaded   // the host is overloaded, and this tenant holds its fair share
 };
-const char* text_of(Answer answer);
+const char* text_of(Answer decision);
 
 // Counts what each tenant holds and decides on new messages.
 class Door {
--- a/src/pool/pool.cpp
+++ b/src/pool/pool.cpp
@@ -26,8 +26,8 @@
   queue_.erase(std::find(queue_.begin(), queue_.end(), name));
 }
 
-const char* text_of(Why why) {
-  switch (why) {
+const char* text_of(Why reason) {
+  switch (reason) {
     case Why::idle:
       return "idle";
     case Why::goaway:
@@ -44,8 +44,8 @@
   return "";
 }
 
-Pool::Pool(std::string name, const Settings& settings, Gate& gate, LinkId& next_link, std::uint64_t seed)
-    : name_(std::move(name)), settings_(settings), gate_(gate), next_link_(next_link), random_(seed) {}
+Pool::Pool(std::string name, const Settings& settings, Gate& limiter, LinkId& next_link, std::uint64_t seed)
+    : name_(std::move(name)), settings_(settings), gate_(limiter), next_link_(next_link), random_(seed) {}
 
 Pool::~Pool() {
   for (auto& [id, l] : links_) release(l);
@@ -202,7 +202,7 @@
 
 void Pool::look_after(Time now, std::vector<Step>& out) {
   for (auto& [id, l] : links_) {
-    const auto close = [&, link = id](Why why) { out.push_back({Step::Do::close, link, 0, why}); };
+    const auto close = [&, link = id](Why reason) { out.push_back({Step::Do::close, link, 0, reason}); };
     if (l.state == Link::State::closing) continue;
     if (l.state == Link::State::connecting) {
       if (now >= l.since + settings_.connect_timeout) close(Why::connect_timeout);
--- a/src/pool/pool.hpp
+++ b/src/pool/pool.hpp
@@ -69,7 +69,7 @@
   asked,           // close_idle() was called
   connect_timeout  // not ready for calls in time
 };
-const char* text_of(Why why);
+const char* text_of(Why reason);
 
 // What the driver is to do next.
 struct Step {
@@ -84,7 +84,7 @@
 class Pool {
  public:
   // `next_link` is the host's counter for connection ids, shared by all pools.
-  Pool(std::string name, const Settings& settings, Gate& gate, LinkId& next_link, std::uint64_t seed);
+  Pool(std::string name, const Settings& settings, Gate& limiter, LinkId& next_link, std::uint64_t seed);
   ~Pool();
   Pool(const Pool&) = delete;
   Pool& operator=(const Pool&) = delete;
--- a/src/relay/core.cpp
+++ b/src/relay/core.cpp
@@ -204,8 +204,8 @@
     ports_.witness->at(now);
     ports_.witness->ended({id, call.endpoint, call.message, call.attempt, 0, nullptr, call.zone}, ending);
   }
-  auto& told = told_[static_cast<std::size_t>(ending.outcome)];
-  told.calls++, told.latency += now - call.sent;
+  auto& stats = told_[static_cast<std::size_t>(ending.outcome)];
+  stats.calls++, stats.latency += now - call.sent;
   bool closed = true;
   if (at != messages_.end()) {
     Message& m = at->second;
@@ -352,15 +352,15 @@
   const CallId id = next_call_++;
   const Time times_out = now + std::max<Time>(0, a.timeout);
   const auto& cls = settings_.classes[static_cast<std::size_t>(m.message->message_class)];
-  Time ran_from = m.ran_from;
+  Time ran_sent_at = m.ran_from;
   for (const CallId other : m.out) {
     const Time sent = calls_.at(other).sent;
-    ran_from = ran_from < 0 ? sent : std::min(ran_from, sent);
+    ran_sent_at = ran_sent_at < 0 ? sent : std::min(ran_sent_at, sent);
   }
-  const Time leave_by = cls.effect == Effect::keyed && ran_from >= 0 ? ran_from + cls.key_window : 0;
-  calls_[id] = {a.id, attempt, a.endpoint, now, times_out, bundle, leave_by, at->second.zone};
+  const Time send_by = cls.effect == Effect::keyed && ran_sent_at >= 0 ? ran_sent_at + cls.key_window : 0;
+  calls_[id] = {a.id, attempt, a.endpoint, now, times_out, bundle, send_by, at->second.zone};
   timeouts_.insert({times_out, id});
-  if (leave_by > 0) leave_by_.insert({leave_by, id});
+  if (send_by > 0) leave_by_.insert({send_by, id});
   m.out.insert(id);
   m.history.out = true;
   tell(now, a.id, trace::Step::What::send, [&](trace::Step& s) {
--- a/src/relay/desk.cpp
+++ b/src/relay/desk.cpp
@@ -44,10 +44,10 @@
 Answers* Desk::Router::take(MessageId id) {
   const auto it = places.find(id);
   if (it == places.end()) return nullptr;
-  const Place place = it->second;
+  const Place removed = it->second;
   places.erase(it);
-  door.over(place.tenant, place.bytes);
-  return place.to;
+  door.over(removed.tenant, removed.bytes);
+  return removed.to;
 }
 void Desk::Router::served(MessageId id, const Ending& ending) {
   if (auto* a = take(id)) a->served(id, ending);
@@ -80,21 +80,21 @@
   if (stories_) stories_->set(trace_settings(settings));
 }
 
-Entry Desk::take(Time now, NewMessage message, const std::string& destination, Answers& to,
-                 const std::function<void(MessageId)>& named) {
+Entry Desk::take(Time now, NewMessage message, const std::string& destination, Answers& answers,
+                 const std::function<void(MessageId)>& on_id) {
   const MessageId id = next_++;
   const int tenant = message.tenant;
   const auto bytes = static_cast<std::int64_t>(message.body.size());
   std::optional<trace::Head> head;
   if (stories_) head = head_of(message, destination, now, settings_);
-  named(id);
+  on_id(id);
   Entry entry;
   const auto answer = door_.ask(tenant, bytes);
   if (answer != admission::Answer::take && !core_.stopping()) {
     core_.turned_away();
     entry = {Core::Taken::full, text_of(answer)};
   } else {
-    router_.places[id] = {&to, tenant, bytes};
+    router_.places[id] = {&answers, tenant, bytes};
     door_.taken(tenant, bytes);
     entry.taken = core_.take(now, id, std::move(message));
     if (entry.taken == Core::Taken::full) entry.why = text_of(admission::Answer::full);
@@ -107,9 +107,9 @@
 }
 
 void Desk::restore(Time now, MessageId id, std::shared_ptr<const NewMessage> message,
-                   const std::string& destination, Time deadline, const Before& before, Answers& to) {
+                   const std::string& destination, Time deadline, const Before& before, Answers& answers) {
   const auto bytes = static_cast<std::int64_t>(message->body.size());
-  router_.places[id] = {&to, message->tenant, bytes};
+  router_.places[id] = {&answers, message->tenant, bytes};
   door_.taken(message->tenant, bytes);
   if (stories_) stories_->begin(now, id, head_of(*message, destination, now, settings_));
   core_.restore(now, id, std::move(message), deadline, before);
--- a/src/relay/desk.hpp
+++ b/src/relay/desk.hpp
@@ -36,14 +36,14 @@
   };
   Desk(const config::RelaySettings& settings, std::unique_ptr<Decider> decider, Ports ports);
 
-  // Submits a message from a client; its final answer goes to `to`. `named` is called with its id before any
-  // answer can arrive. Admission control rejects the message if the relay is short of buffer, memory or time;
-  // a rejected message was never accepted, so that repeating it is harmless.
-  Entry take(Time now, NewMessage message, const std::string& destination, Answers& to,
-             const std::function<void(MessageId)>& named);
+  // Submits a message from a client; its final answer goes to `answers`. `on_id` is called with its id before
+  // any answer can arrive. Admission control rejects the message if the relay is short of buffer, memory or
+  // time; a rejected message was never accepted, so that repeating it is harmless.
+  Entry take(Time now, NewMessage message, const std::string& destination, Answers& answers,
+             const std::function<void(MessageId)>& on_id);
   // Restores a message that an earlier run accepted: see Core::restore().
   void restore(Time now, MessageId id, std::shared_ptr<const NewMessage> message,
-               const std::string& destination, Time deadline, const Before& before, Answers& to);
+               const std::string& destination, Time deadline, const Before& before, Answers& answers);
   // New ids start at `id` at the lowest; those below were assigned by earlier runs.
   void number_from(MessageId id) { next_ = std::max(next_, id); }
   // The client cancels the message; no final answer is given.
--- a/src/relay/intake.cpp
+++ b/src/relay/intake.cpp
@@ -28,10 +28,10 @@
 }
 
 std::optional<Rejection> Intake::check(const Request& r, NewMessage& m) const {
-  using Why = Rejection::Why;
-  const auto malformed = [](std::string detail) { return Rejection{Why::malformed, std::move(detail)}; };
+  using Reason = Rejection::Why;
+  const auto malformed = [](std::string detail) { return Rejection{Reason::malformed, std::move(detail)}; };
   m.message_class = index_of(settings_.names.classes, r.message_class);
-  if (m.message_class < 0) return Rejection{Why::no_class, "no class is named '" + r.message_class + "'"};
+  if (m.message_class < 0) return Rejection{Reason::no_class, "no class is named '" + r.message_class + "'"};
   if (!r.ttl)
     return malformed("the TTL field is missing or no whole number of seconds (RFC 8030 section 5.2)");
   m.time_left = *r.ttl;
--- a/src/relay/partner_book.cpp
+++ b/src/relay/partner_book.cpp
@@ -3,8 +3,8 @@
 namespace cedarplank::relay {
 
 DestinationId PartnerBook::intern(const std::string& name) {
-  const auto [it, fresh] = ids_.try_emplace(name, static_cast<DestinationId>(names_.size()));
-  if (fresh) names_.push_back(name);
+  const auto [it, inserted] = ids_.try_emplace(name, static_cast<DestinationId>(names_.size()));
+  if (inserted) names_.push_back(name);
   return it->second;
 }
 
