--- a/src/admission/door.hpp
+++ b/src/admission/door.hpp
@@ -78,7 +78,7 @@
   std::map<int, Holding> holdings_;  // by tenant; only tenants that hold any
   std::size_t held_ = 0;
   std::int64_t bytes_ = 0;
-  double weights_ = 0;       // sum over the tenants in holdings_
+  double weights_ = 0;       // sum over the tenants that hold any
   double usual_weight_ = 1;  // for tenants without a weight
   bool overloaded_ = false;
   int streams_;
--- a/src/pool/pool.hpp
+++ b/src/pool/pool.hpp
@@ -42,7 +42,7 @@
 class Gate {
  public:
   explicit Gate(int limit) : most_(limit) {}
-  // Whether `name` may start a handshake now. If not, it is queued for next().
+  // Whether `name` may start a handshake now. If not, it is queued.
   bool enter(const std::string& name);
   // A handshake has ended.
   void leave() { inside_--; }
@@ -62,7 +62,7 @@
 
 // Why a connection is closed.
 enum class Why {
-  idle,            // without calls for Settings::idle
+  idle,            // without calls for the idle time
   goaway,          // the peer accepts no more calls on it
   unlisted,        // the endpoint is no longer in the list
   unhealthy,       // a PING or enquire_link was not answered
@@ -89,7 +89,7 @@
   Pool(const Pool&) = delete;
   Pool& operator=(const Pool&) = delete;
 
-  // Calls. wait() queues one until a connection can carry it.
+  // Queues a call until a connection can carry it.
   void wait(CallId call) { waiting_.push_back(call); }
   // Puts calls back whose connections turned out to have no capacity: ahead of the others, in this order.
   void wait_again(const std::vector<CallId>& calls) {
@@ -170,7 +170,7 @@
   Time replace_at_ = kNever;  // when a replacement of a draining connection is due
   bool replace_ = false;      // it is due, and not started yet
   int cap_ = 0;
-  Time cap_until_ = 0;  // when cap_ expires
+  Time cap_until_ = 0;  // when the observed limit expires
 };
 
 }  // namespace cedarplank::pool
--- a/src/relay/core.cpp
+++ b/src/relay/core.cpp
@@ -64,7 +64,7 @@
   m.deadline = now + message.time_left;
   m.message = std::make_shared<const NewMessage>(std::move(message));
   if (ports_.witness != nullptr) ports_.witness->at(now), ports_.witness->taken(id, m.message, m.deadline);
-  // The event carries the deadline; turn() converts it to the time left at the round.
+  // The event carries the deadline, which is converted to the time left when the round is run.
   events_.push_back(event::Arrival{id, m.message->destination, m.message->message_class, m.message->tenant,
                                    m.deadline, m.message->order_key, m.message->repeat});
   return Taken::yes;
--- a/src/relay/core.hpp
+++ b/src/relay/core.hpp
@@ -76,14 +76,18 @@
 // Sends calls to endpoints and cancels them.
 class Transport {
  public:
-  // How far a cancelled call had got. sent: some of it may have left; connecting: it waited for a connection
-  // that was being opened; waiting: it waited for capacity on a connection; kept: not cancelled, since the
-  // message is part of a bundle whose other messages are still waited for. A kept message may not be sent to
-  // another endpoint meanwhile, and ends with its bundle.
-  enum class Recalled { sent, connecting, waiting, kept };
+  // How far a cancelled call had got.
+  enum class Recalled {
+    sent,        // some of it may have been sent
+    connecting,  // it waited for a connection that was being opened
+    waiting,     // it waited for capacity on a connection
+    // Not cancelled: the message shares its call with others that are still waited for. It may not be sent to
+    // another endpoint meanwhile, and ends with that call.
+    kept
+  };
   virtual ~Transport() = default;
   virtual void send(const CallOrder& call) = 0;
-  // Cancels the call; unless the result is `kept`, nothing is reported for it afterwards.
+  // Cancels the call. Nothing is reported for it afterwards, unless it is kept with its bundle.
   virtual Recalled cancel(CallId call) = 0;
   // Cancels a call of which nothing has been sent yet. False if some of it has, or if the call is unknown.
   virtual bool take_back(CallId call) = 0;
@@ -195,17 +199,17 @@
   };
   // Accepts a message from a client.
   Taken take(Time now, MessageId id, NewMessage message);
-  // Restores a message that an earlier run of this relay accepted; `deadline` may have passed. Must be
-  // followed by a call of turn().
+  // Restores a message that an earlier run of this relay accepted; `deadline` may have passed. The host must
+  // run what is due afterwards.
   void restore(Time now, MessageId id, std::shared_ptr<const NewMessage> message, Time deadline,
                const Before& before);
   // Restores what an earlier run knew about an endpoint. To be called after the list that contains the
   // endpoint.
   void known(event::Known known) { events_.push_back(std::move(known)); }
-  // Counts a message that was rejected before it reached take() with those that take() rejected.
+  // Counts a message that was rejected before it reached the core with those that the core rejected.
   void turned_away() { counts_.not_taken++; }
   // The client cancels the message; no final answer is given. Returns the one that would have been correct;
-  // Fate::fail also for a message that is unknown or has ended.
+  // `fail` also for a message that is unknown or has ended.
   Fate withdraw(Time now, MessageId id);
 
   // The transport reports the result of a call; ignored if the call has already ended.
@@ -221,14 +225,14 @@
 
   // Handles what is due: time-outs, timers, and a decision round if there are events and the tick has passed.
   void turn(Time now);
-  // When turn() next has something to do; a time in the past means now.
+  // When something is due next; a time in the past means now.
   Time next_due() const;
 
   // Starts the shutdown: no more messages are accepted.
   void stop_taking() { stopping_ = true; }
-  // Gives every held message its final answer now, as fate_at_stop() decides.
+  // Gives every held message its final answer now, by what is known about its attempts.
   void end_all(Time now);
-  // The same, only for messages whose deadline has passed: for a host that no longer calls turn().
+  // The same, only for messages whose deadline has passed: for a host that no longer runs decision rounds.
   void end_overdue(Time now);
 
   bool stopping() const { return stopping_; }
--- a/src/relay/fate.hpp
+++ b/src/relay/fate.hpp
@@ -12,7 +12,7 @@
   bool out = false;           // an attempt has no outcome yet
 };
 
-// The final answer: see fate_at_stop().
+// The final answer of a message that was not served; see below for when each is given.
 enum class Fate { refuse, fail };
 
 // Whether an outcome proves that the call never ran (rule 2).
--- a/src/relay/partner_book.hpp
+++ b/src/relay/partner_book.hpp
@@ -37,13 +37,13 @@
   config::PartnerList list() const;
 
  private:
-  static constexpr std::size_t kGoneRemembered = 10'000;  // size of gone_
+  static constexpr std::size_t kGoneRemembered = 10'000;  // bound on gone_
   DestinationId intern(const std::string& name);
   Endpoint as_event(const config::PartnerEndpoint& e);
   std::map<std::string, DestinationId> ids_;  // of destinations; never reused while the relay runs
   std::vector<std::string> names_;
   std::map<EndpointId, config::PartnerEndpoint> now_;  // in the current list
-  // Those no longer listed, as they last were; beyond kGoneRemembered the oldest is dropped.
+  // Those no longer listed, as they last were; beyond the bound the oldest is dropped.
   std::map<EndpointId, config::PartnerEndpoint> gone_;
   std::deque<EndpointId> gone_order_;  // oldest first
   std::map<EndpointId, Time> since_;   // when an endpoint was added, if after the first list
