--- a/src/relay/desk.cpp
+++ b/src/relay/desk.cpp
@@ -6,7 +6,7 @@
 namespace cedarplank::relay {
 namespace {
 
-admission::Settings door_settings(const config::RelaySettings& settings) {
+admission::Settings admission_settings(const config::RelaySettings& settings) {
   admission::Settings s;
   s.held_max = static_cast<std::size_t>(settings.dispatcher.open_max);
   s.bytes_max = settings.held_bytes_max, s.lag_target = settings.late_at;
@@ -27,14 +27,14 @@
 trace::Head head_of(const NewMessage& message, const std::string& destination, Time now,
                     const config::RelaySettings& settings) {
   trace::Head head;
-  const auto place = static_cast<std::size_t>(message.message_class);
-  const auto& cls = settings.dispatcher.classes[place];
+  const auto class_index = static_cast<std::size_t>(message.message_class);
+  const auto& cls = settings.dispatcher.classes[class_index];
   head.key = message.idempotency_key, head.destination = destination;
-  head.message_class = settings.names.classes[place];
+  head.message_class = settings.names.classes[class_index];
   if (message.tenant >= 0) head.tenant = settings.names.tenants[static_cast<std::size_t>(message.tenant)];
   head.connection = message.client_connection, head.stream = message.client_stream;
   head.deadline = now + std::min(message.time_left, cls.deadline);
-  // From now on: a client that asks for a short time to live does not thereby make its message late.
+  // The aim counts from now, whatever the time to live: a short TTL does not make a message late.
   head.aim = std::min(now + cls.aim, head.deadline);
   return head;
 }
@@ -44,10 +44,10 @@
 Answers* Desk::Router::take(MessageId id) {
   const auto it = places.find(id);
   if (it == places.end()) return nullptr;
-  const Place place = it->second;
+  const Place removed = it->second;
   places.erase(it);
-  door.over(place.tenant, place.bytes);
-  return place.to;
+  door.over(removed.tenant, removed.bytes);
+  return removed.to;
 }
 void Desk::Router::served(MessageId id, const Ending& ending) {
   if (auto* a = take(id)) a->served(id, ending);
@@ -61,7 +61,7 @@
 
 Desk::Desk(const config::RelaySettings& settings, std::unique_ptr<Decider> decider, Ports ports)
     : settings_(settings),
-      door_(door_settings(settings)),
+      door_(admission_settings(settings)),
       stories_(ports.story ? std::make_unique<trace::Recorder>(trace_settings(settings), settings.seed,
                                                                std::move(ports.story))
                            : nullptr),
@@ -70,31 +70,31 @@
 Core::Ports Desk::core_ports(const Ports& ports) {
   if (!ports.between)
     return {ports.transport, router_, ports.list, ports.notes, ports.log, stories_.get(), nullptr};
-  const auto between = ports.between(router_);
-  return {between.transport, between.answers, ports.list,      ports.notes,
-          ports.log,         stories_.get(),  &between.witness};
+  const auto interfaces = ports.between(router_);
+  return {interfaces.transport, interfaces.answers, ports.list, ports.notes, ports.log,
+          stories_.get(),       &interfaces.witness};
 }
 
 void Desk::set(const config::RelaySettings& settings) {
-  door_.set(door_settings(settings));
+  door_.set(admission_settings(settings));
   if (stories_) stories_->set(trace_settings(settings));
 }
 
-Entry Desk::take(Time now, NewMessage message, const std::string& destination, Answers& to,
-                 const std::function<void(MessageId)>& named) {
+Entry Desk::take(Time now, NewMessage message, const std::string& destination, Answers& answers,
+                 const std::function<void(MessageId)>& on_id) {
   const MessageId id = next_++;
   const int tenant = message.tenant;
   const auto bytes = static_cast<std::int64_t>(message.body.size());
   std::optional<trace::Head> head;
   if (stories_) head = head_of(message, destination, now, settings_);
-  named(id);
+  on_id(id);
   Entry entry;
   const auto answer = door_.ask(tenant, bytes);
   if (answer != admission::Answer::take && !core_.stopping()) {
     core_.turned_away();
     entry = {Core::Taken::full, text_of(answer)};
   } else {
-    router_.places[id] = {&to, tenant, bytes};
+    router_.places[id] = {&answers, tenant, bytes};
     door_.taken(tenant, bytes);
     entry.taken = core_.take(now, id, std::move(message));
     if (entry.taken == Core::Taken::full) entry.why = text_of(admission::Answer::full);
@@ -107,9 +107,9 @@
 }
 
 void Desk::restore(Time now, MessageId id, std::shared_ptr<const NewMessage> message,
-                   const std::string& destination, Time deadline, const Before& before, Answers& to) {
+                   const std::string& destination, Time deadline, const Before& before, Answers& answers) {
   const auto bytes = static_cast<std::int64_t>(message->body.size());
-  router_.places[id] = {&to, message->tenant, bytes};
+  router_.places[id] = {&answers, message->tenant, bytes};
   door_.taken(message->tenant, bytes);
   if (stories_) stories_->begin(now, id, head_of(*message, destination, now, settings_));
   core_.restore(now, id, std::move(message), deadline, before);
