--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -49,7 +49,7 @@
   return r;
 }
 
-// ---- Writing actions. ----
+// Writes one line of the wire per action.
 class ActionWriter {
  public:
   ActionWriter(std::string& reply, const std::string& who) : reply_(reply), who_(who) {}
@@ -86,10 +86,11 @@
   void operator()(const action::TellPeer& a) {
     line("BROADCAST_TO", [&](Writer& w) { number(w, "Whom", a.whom), text(w, "Body", a.body); });
   }
-  void operator()(const action::Seen&) {}  // for relays that keep a journal
+  void operator()(const action::Seen&) {}  // only for relays with a journal; has no line on the wire
   void operator()(const action::Log& a) {
     line("PRINT", [&](Writer& w) { text(w, "Msg", a.text); });
   }
+  // Reports that the instance can't go on.
   void fatal(const std::string& what) {
     line("FATAL", [&](Writer& w) { text(w, "Msg", what); });
   }
@@ -121,10 +122,11 @@
 struct Codec::Instance {
   Tables tables;
   std::optional<Dispatcher> dispatcher;
-  std::string broken;  // why the dispatcher could not be made
-  std::vector<Event> events;
+  std::string broken;         // why the dispatcher could not be created
+  std::vector<Event> events;  // of the present round
 };
 
+// A listed endpoint. Zone and kind are still names here, because their positions differ between instances.
 struct Codec::PoolEntry {
   Endpoint endpoint;
   std::string zone, kind;
@@ -132,11 +134,13 @@
 
 struct Codec::Impl {
   Time now = 0;
-  bool in_batch = false;
+  bool in_batch = false;  // between ROUND and YOUR_TURN
   std::map<std::string, Instance> instances;
-  std::map<std::int64_t, std::vector<PoolEntry>> pools;
-  std::vector<std::string> acting;  // instances with an event in this batch, in order
+  std::map<std::int64_t, std::vector<PoolEntry>> pools;  // endpoint lists by RosterId
+  // Instances with an event in this batch, in the order of their first event.
+  std::vector<std::string> acting;
 
+  // Returns the instance that a message is for and adds it to those to be answered.
   Instance& instance(const Value& v, const std::string& path) {
     const std::string who = get(v, "Who", path, as_text);
     const auto it = instances.find(who);
@@ -145,6 +149,7 @@
     return it->second;
   }
 
+  // Creates an instance, or replaces one of the same name. Invalid settings are reported with the answer.
   void start(const Value& v, const std::string& path) {
     const std::string who = get(v, "Who", path, as_text);
     Instance fresh;
@@ -159,6 +164,7 @@
     instance(v, path);
   }
 
+  // Destroys an instance; its events of this batch are dropped.
   void stop(const Value& v, const std::string& path) {
     instance(v, path);
     const std::string who = get(v, "Who", path, as_text);
@@ -166,6 +172,7 @@
     acting.erase(std::find(acting.begin(), acting.end(), who));
   }
 
+  // Stores an endpoint list under its number, for the messages that refer to it.
   void pool(const Value& v, const std::string& path) {
     std::vector<PoolEntry> entries;
     for (const auto& e : as_array(need(v, "Elements", path), path + ".Elements").GetArray()) {
@@ -187,6 +194,7 @@
     pools[get(v, "RosterId", path, as_integer)] = std::move(entries);
   }
 
+  // Makes an event from a stored endpoint list, or from a failed request for one.
   Event sync(const Value& v, const std::string& path, const Tables& tables) {
     const std::string how = get(v, "How", path, as_text);
     if (how == "X") return event::ListFailed{};
@@ -243,6 +251,7 @@
     malformed(kind, "unknown message kind");
   }
 
+  // Passes the events of the batch to their instances and writes the actions of each.
   void answer(std::string& reply) {
     for (const auto& who : acting) {
       Instance& i = instances.at(who);
@@ -274,12 +283,12 @@
   as_object(v, "message");
   const std::string kind = get(v, "kind", "message", as_text);
   if (kind == "ROUND") {
-    if (impl_->in_batch) malformed(kind, "the round before has not ended");
+    if (impl_->in_batch) malformed(kind, "the previous round has not ended");
     impl_->now = get(v, "Clock", kind, as_integer);
     impl_->in_batch = true;
     return false;
   }
-  if (!impl_->in_batch) malformed(kind, "no ROUND came before");
+  if (!impl_->in_batch) malformed(kind, "no ROUND came before this message");
   if (kind == "YOUR_TURN") {
     impl_->in_batch = false;
     reply.clear();
@@ -293,7 +302,7 @@
   } else if (kind == "POOL") {
     impl_->pool(v, kind);
   } else if (kind == "ACCEPTED") {
-    impl_->instance(v, kind);  // no class streams; the attempt's outcome follows
+    impl_->instance(v, kind);  // no class streams its answers; the outcome of the attempt follows
   } else {
     Instance& i = impl_->instance(v, kind);
     i.events.push_back(impl_->read_event(kind, v, i.tables));
--- a/adapter/codec.hpp
+++ b/adapter/codec.hpp
@@ -1,4 +1,5 @@
-// The wire of the simulator, translated to and from the dispatcher's events and actions. No decisions.
+// Translates the simulator's wire format to events of the dispatcher, and its actions back. Takes no
+// decisions.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +13,16 @@
 
 namespace cedarplank::adapter {
 
-// What is wrong with a line, and where in it.
+// A malformed line; what() gives the position in it and the reason.
 using WireError = settings::FieldError;
 
+// The wire format has one JSON object per line. A batch of lines is one round, for any number of instances.
 class Codec {
  public:
   Codec();
   ~Codec();
 
-  // Takes one line. Returns true when the line ends a batch: `reply` then holds the whole answer.
+  // Processes one line. Returns true if the line ends a batch: `reply` then holds the complete answer.
   // Throws WireError on malformed input.
   bool take(const std::string& line, std::string& reply);
 
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,4 +1,5 @@
-// cedarplank_adapter: reads batches of the simulator's wire, answers each with one flush.
+// cedarplank_adapter: reads batches in the simulator's wire format from standard input and answers each on
+// standard output, with one flush per batch. Exits with 1 on a malformed line or if the output is closed.
 #include <iostream>
 #include <string>
 
--- a/src/settings/fields.hpp
+++ b/src/settings/fields.hpp
@@ -1,5 +1,6 @@
-// Reading fields of JSON objects: `path` says where, for the one line on what is malformed. Shared by all
-// that read the simulator's names, so that the same text means the same everywhere.
+// Reads members of JSON objects. `path` is the position of a value in the document, for error messages.
+// Shared by all code that reads the simulator's member names, so that the same text has the same meaning
+// everywhere.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -15,7 +16,7 @@
 using Value = rapidjson::Value;
 using SizeType = rapidjson::SizeType;
 
-// What is wrong with a field, and where it stands.
+// A malformed field; what() gives its path and the reason.
 class FieldError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -25,17 +26,19 @@
   throw FieldError(path + ": " + what);
 }
 
-// The member, or nullptr where it is absent or null.
+// Returns the member, or nullptr if it is absent or null.
 inline const Value* find(const Value& object, const char* name) {
   const auto it = object.FindMember(name);
   return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
+// Returns the member; throws FieldError if it is absent or null.
 inline const Value& need(const Value& object, const char* name, const std::string& path) {
   const Value* v = find(object, name);
   if (v == nullptr) malformed(path + "." + name, "missing");
   return *v;
 }
 
+// Each of these returns the value as the type it names, or throws FieldError.
 inline std::string as_text(const Value& v, const std::string& path) {
   if (!v.IsString()) malformed(path, "must be a string");
   return {v.GetString(), v.GetStringLength()};
@@ -69,7 +72,7 @@
   return v;
 }
 
-// A required field, and one that may be absent or null, read by one of the readers above.
+// Reads a required member, or one that may be absent or null, by one of the functions above.
 template <class Read>
 auto get(const Value& object, const char* name, const std::string& path, Read read) {
   return read(need(object, name, path), path + "." + name);
@@ -81,7 +84,8 @@
   return v == nullptr ? static_cast<Result>(absent) : read(*v, path + "." + name);
 }
 
-// The value that a word of the wire stands for.
+// Returns the value that belongs to one of the words that a field may hold; throws FieldError for any other
+// word.
 template <class T>
 T word(const std::string& text, std::initializer_list<std::pair<const char*, T>> words,
        const std::string& path) {
--- a/src/settings/simulator.cpp
+++ b/src/settings/simulator.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-Names names_of(const Value& object, const char* name, const std::string& path) {
+// Positions of the names in a list of strings; empty if the list is absent.
+Names read_names(const Value& object, const char* name, const std::string& path) {
   Names names;
   const Value* list = find(object, name);
   if (list == nullptr) return names;
@@ -37,8 +38,8 @@
   return c;
 }
 
-// A list with one value for each kind, or nothing.
-const Value* per_kind(const Value& family, const char* name, const std::string& path) {
+// Returns a list member, or nullptr if it is absent.
+const Value* find_list(const Value& family, const char* name, const std::string& path) {
   const Value* v = find(family, name);
   return v == nullptr ? nullptr : &as_array(*v, path + "." + name);
 }
@@ -60,14 +61,14 @@
       s.tenants.push_back({get(t, "QuotaPerS", path + ".Tenants", as_number, 0.0)});
     }
   }
-  tables.zones = names_of(v, "FailureDomains", path);
-  tables.kinds = names_of(v, "HostTypes", path);
+  tables.zones = read_names(v, "FailureDomains", path);
+  tables.kinds = read_names(v, "HostTypes", path);
   s.kinds.resize(std::max<std::size_t>(1, tables.kinds.size()));
 
   const std::string family_path = path + ".FamilyInfo";
   const Value& family = as_object(need(v, "FamilyInfo", path), family_path);
-  const Value* apart = per_kind(family, "RoutesApart", family_path);
-  const Value* bundle = per_kind(family, "BundleMax", family_path);
+  const Value* apart = find_list(family, "RoutesApart", family_path);
+  const Value* bundle = find_list(family, "BundleMax", family_path);
   for (rapidjson::SizeType i = 0; i < s.kinds.size(); i++) {
     if (apart != nullptr && i < apart->Size())
       s.kinds[i].routes_apart = as_bool((*apart)[i], family_path + ".RoutesApart");
@@ -78,8 +79,8 @@
   s.decay = word<Decay>(get(family, "Decay", family_path, as_text, "line"),
                         {{"line", Decay::line}, {"halves", Decay::halves}}, family_path + ".Decay");
   s.refused_price = get(family, "TurnedAwayPrice", family_path, as_number, 0.0);
-  if (const Value* toll = per_kind(family, "Toll", family_path))
-    for (const auto& fee : toll->GetArray()) s.zone_fees.push_back(as_number(fee, family_path + ".Toll"));
+  if (const Value* fees = find_list(family, "Toll", family_path))
+    for (const auto& fee : fees->GetArray()) s.zone_fees.push_back(as_number(fee, family_path + ".Toll"));
 
   const std::string limits_path = path + ".Limits";
   const Value& limits = as_object(need(v, "Limits", path), limits_path);
--- a/src/settings/simulator.hpp
+++ b/src/settings/simulator.hpp
@@ -1,5 +1,5 @@
-// The settings object of an instance, as the simulator's first message and a node's configuration both give
-// it. One reader for both: the module can't be told different things by them.
+// Reads the settings object of a dispatcher instance, which comes in the simulator's first message and in a
+// node's configuration. Both are read here, so that the same object gives the same settings.
 #pragma once
 
 #include <string>
@@ -10,14 +10,18 @@
 
 namespace cedarplank::settings {
 
-using Names = std::unordered_map<std::string, int>;         // to their place in the settings
-int position(const Names& names, const std::string& name);  // -1: unknown
+// Maps names to their positions in the lists of the settings.
+using Names = std::unordered_map<std::string, int>;
+// Returns the position of a name, or -1 if it is unknown.
+int position(const Names& names, const std::string& name);
 
+// The names that events and the endpoint list use. The dispatcher itself knows positions only.
 struct Tables {
   Names classes, tenants, zones, kinds;
 };
 
-// Throws FieldError naming the member. `path` is where the object stands.
+// Reads the settings and fills `tables`. Throws FieldError that names the malformed member; `path` is the
+// object's position in the document.
 Settings read_simulator(const Value& v, const std::string& path, Tables& tables);
 
 }  // namespace cedarplank::settings
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -1,4 +1,4 @@
-// The wire, on hand-written lines.
+// Tests of the adapter: hand-written lines of the simulator's wire format.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -44,7 +44,7 @@
     EXPECT_TRUE(codec_.take(R"({"kind":"YOUR_TURN"})", reply));
     return reply;
   }
-  // What is said of a line that is malformed.
+  // The error message for a malformed line; empty if it is accepted.
   std::string complaint(const std::string& line) {
     std::string reply;
     codec_.take(R"({"kind":"ROUND","Clock":1})", reply);
@@ -81,7 +81,7 @@
   clock_ += 890'000;
   EXPECT_FALSE(has(round({R"({"kind":"REMINDER","Who":"relay-0","Tag":0})", knock("relay-0", 2)}), "PLACE"));
   bool sent = false;
-  for (int i = 0; i < 10 && !sent; i++) {  // what was set at the refusal counts too
+  for (int i = 0; i < 10 && !sent; i++) {  // the delays set at the refusal apply as well
     clock_ += 500'000;
     sent = has(round({R"({"kind":"REMINDER","Who":"relay-0","Tag":0})"}), "PLACE");
   }
--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -1,4 +1,5 @@
-// The ordinary path (LIMD delay, pace) and the departures from it, on scripted events.
+// Tests of the dispatcher on scripted events: LIMD delay, pace, endpoint health, final answers, list and
+// memory.
 #include <optional>
 #include <set>
 #include <stdexcept>
@@ -10,7 +11,7 @@
 
 std::optional<Outcome> serve(const Sent&) { return Outcome::served; }
 
-// The waits between outcome and next try of one message that fails again and again.
+// The waits between outcome and next attempt of one message that fails repeatedly.
 std::vector<Time> waits(Relay& r, int tries, Outcome o) {
   std::vector<Time> w;
   const auto id = r.arrive(kSafe, 1, "", 60 * kS);
@@ -30,9 +31,9 @@
     Relay r(plain(), seed);
     r.list({{.id = "a", .destination = 1}});
     const auto w = waits(r, 2, Outcome::error);
-    EXPECT_GE(w[0], 150 * kMs - 5 * kMs);  // 0.2 s less the jitter
+    EXPECT_GE(w[0], 150 * kMs - 5 * kMs);  // 0.2 s minus the jitter
     EXPECT_LE(w[0], 250 * kMs + 10 * kMs);
-    EXPECT_GE(w[1], 390 * kMs);  // 0.6 s, aged a little, less the jitter
+    EXPECT_GE(w[1], 390 * kMs);  // 0.6 s minus a little decay and the jitter
     firsts.insert(w[0]);
   }
   EXPECT_GT(firsts.size(), 3u);
@@ -44,7 +45,7 @@
   r.round({r.ending(a, Outcome::error), r.ending(b, Outcome::error)});
   const Time from = r.now;
   r.run_to(from + 260 * kMs);
-  EXPECT_GE(r.sends_of(a) + r.sends_of(b), 3);  // the initial delay, not the next step
+  EXPECT_GE(r.sends_of(a) + r.sends_of(b), 3);  // the initial delay, without a further increase
 }
 TEST(Delay, FirstTriesSkipIt) {
   Relay r;
@@ -72,7 +73,7 @@
 TEST(Pace, RefusalsFadeAtALimit) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
-  // Takes ten calls a second, sent twenty.
+  // The endpoint accepts ten calls a second and gets twenty.
   double room = 3;
   Time last = r.now;
   int refused = 0, late_refused = 0;
@@ -86,8 +87,8 @@
     return Outcome::full;
   });
   EXPECT_GT(refused, 0);
-  EXPECT_LT(late_refused, 30);                            // of 150 calls that the limit takes in that time
-  EXPECT_GT(r.sends_between(r.now - 5 * kS, r.now), 38);  // and what it takes is used
+  EXPECT_LT(late_refused, 30);                            // of 150 calls that the limit allows in that time
+  EXPECT_GT(r.sends_between(r.now - 5 * kS, r.now), 38);  // and the limit is used
 }
 
 TEST(Bulkhead, ASilentEndpointCannotHoldTheSlotsOfOthers) {
@@ -123,7 +124,7 @@
     events.push_back(a);
   }
   r.round(events);
-  EXPECT_EQ(r.out.size(), 4u);  // one call of four; the slot is taken
+  EXPECT_EQ(r.out.size(), 4u);  // one call with four messages occupies the only slot
 }
 TEST(Bundles, ShrinkWhenCallsFail) {
   auto s = plain();
@@ -135,7 +136,7 @@
     for (int i = 0; i < 8; i++) {
       static MessageId id = 1000;
       event::Arrival a;
-      a.id = ++id, a.destination = 1, a.message_class = kUnsafe, a.time_left = 20 * kS;  // a reset ends them
+      a.id = ++id, a.destination = 1, a.message_class = kUnsafe, a.time_left = 20 * kS;  // ends at a reset
       events.push_back(a);
     }
     r.round(events);
@@ -147,14 +148,14 @@
   r.round(ends);
   ASSERT_EQ(r.failed.size(), 8u);
   burst();
-  std::size_t first_call = 0;  // doubtful: two calls at most, of four messages each
+  std::size_t first_call = 0;  // after failures: at most two calls, with four messages each
   for (const auto& sent : r.out) first_call += sent.at == r.now;
   EXPECT_EQ(first_call, 8u);
   ends.clear();
   for (const auto& sent : std::vector<Sent>(r.out)) ends.push_back(r.ending(sent.id, Outcome::reset));
   r.round(ends);
   burst();
-  EXPECT_LE(r.out.size(), 4u);  // two calls of two
+  EXPECT_LE(r.out.size(), 4u);  // two calls with two messages each
 }
 TEST(GiveUp, ACallThatLaterOnesOvertookIsCancelled) {
   auto s = plain();
@@ -171,7 +172,7 @@
   ASSERT_EQ(r.cancelled.count(lost), 1u);
   r.end(lost, Outcome::cancelled);
   r.run_to(r.now + 1 * kS);
-  EXPECT_EQ(r.sends_of(lost), 2);  // and tried again
+  EXPECT_EQ(r.sends_of(lost), 2);  // and another attempt is made
 }
 TEST(GiveUp, OverdueCallsFreeTheSlotsThatOthersNeed) {
   auto s = plain();
@@ -181,7 +182,7 @@
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 2}, {.id = "c", .destination = 3}});
   for (int i = 0; i < 3; i++) r.arrive(kSafe, 1);
   for (int i = 0; i < 3; i++) r.arrive(kUnsafe, 2);
-  ASSERT_EQ(r.out.size(), 3u);  // all slots taken by what stays silent
+  ASSERT_EQ(r.out.size(), 3u);  // all slots are occupied by calls that are not answered
   r.arrive(kSafe, 3);
   r.run_to(r.now + 4 * kS);
   EXPECT_GE(r.cancelled.size(), 3u);
@@ -195,28 +196,28 @@
   const auto early = r.arrive(kSafe, 1);
   r.run_to(r.now + 900 * kMs);
   const auto late = r.arrive(kSafe, 1);
-  for (int i = 0; i < 3; i++) r.arrive(kSafe, 2);  // slots are short from here
+  for (int i = 0; i < 3; i++) r.arrive(kSafe, 2);  // from here no slot is free
   r.run_to(r.now + 300 * kMs);
-  r.end(early, Outcome::served);  // slow, but at work
+  r.end(early, Outcome::served);  // slow, but still answering
   r.run_to(r.now + 1100 * kMs);
   EXPECT_EQ(r.cancelled.count(late), 0u);
 }
 TEST(Bulkhead, TrialsOfManySilentEndpointsHoldAPartOfTheSlots) {
   auto s = plain();
-  s.slots = 8, s.cold = 300 * kS;  // what is known of them stays
+  s.slots = 8, s.cold = 300 * kS;  // long enough that no outage expires
   Relay r(s);
   std::vector<Endpoint> endpoints;
   for (int d = 1; d <= 12; d++) endpoints.push_back({.id = std::to_string(d), .destination = d});
   r.list(endpoints);
   for (int d = 1; d <= 12; d++) {
     for (int i = 0; i < 4; i++) r.arrive(kSafe, d, "", 60 * kS);
-    for (int i = 0; i < 8 && !r.out.empty(); i++) {  // every call is reset until the endpoint is closed
+    for (int i = 0; i < 8 && !r.out.empty(); i++) {  // reset every call until the endpoint is closed
       for (const auto& sent : std::vector<Sent>(r.out)) r.end(sent.id, Outcome::reset);
       r.run_to(r.now + 1 * kS);
     }
   }
   for (const auto& sent : std::vector<Sent>(r.out)) r.end(sent.id, Outcome::reset);
-  r.run_to(r.now + 4 * kS);  // from here nothing answers
+  r.run_to(r.now + 4 * kS);  // from here no call is answered
   EXPECT_GE(r.out.size(), 1u);
   EXPECT_LE(r.out.size(), 2u);
 }
@@ -234,7 +235,7 @@
   auto s = plain();
   s.relays = 200, s.fall_multiple = 2, s.cold_from = 0.2, s.cold = 10 * kS;
   std::size_t trials = 0, asked = 0;
-  for (std::uint64_t seed = 1; seed <= 40; seed++) {  // each asks for a call in five seconds
+  for (std::uint64_t seed = 1; seed <= 40; seed++) {  // each relay makes a call every five seconds
     Relay r(s, seed);
     r.list({{.id = "a", .destination = 1}});
     r.live(30 * kS, 0.2, kUnsafe, 1, serve);
@@ -243,8 +244,8 @@
     r.live(15 * kS, 0.2, kUnsafe, 1, [](const Sent&) { return std::optional(Outcome::connect_failed); });
     trials += r.sent.size() - before, asked += 3;
   }
-  EXPECT_GT(trials, asked / 10);  // they do look for its return,
-  EXPECT_LT(trials, asked / 2);   // but a cold destination stands 0.4 of what they ask
+  EXPECT_GT(trials, asked / 10);  // they do make trial calls,
+  EXPECT_LT(trials, asked / 2);   // but a cold destination withstands only 0.4 of their usual load
 }
 TEST(Shut, OneProvableFailureClosesWhereCallsAreRareOneErrorDoesNot) {
   for (auto o : {Outcome::connect_failed, Outcome::error}) {
@@ -258,8 +259,9 @@
     EXPECT_EQ(r.sends_of(next), o == Outcome::error ? 1 : 0);
   }
 }
-// On a day when a quarter of the connections broke, sound endpoints were closed 51 times, and messages for
-// them waited until their time was up.
+// When a quarter of the connections broke on one day, healthy endpoints were closed 51 times, and messages
+// for them were held until their deadline. Broken connections alone must not close an endpoint that still
+// serves.
 TEST(Shut, BrokenConnectionsCloseNoSoundEndpointButADeadOne) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
@@ -282,11 +284,11 @@
   const Time at = r.now;
   r.change({.id = "b", .destination = 1});
   r.run_to(at + 1 * kS);
-  EXPECT_LE(r.sends_between(at, at + 1 * kS, "b"), 6);  // some sixty messages are held
+  EXPECT_LE(r.sends_between(at, at + 1 * kS, "b"), 6);  // about sixty messages are held
 }
-// Where calls after a refusal are refused again, and use up the limit, quick retries keep a limit overrun:
-// the whole target is held, longer with each refusal in a row, and one call at a time looks whether it is
-// over.
+// If calls after a refusal are refused again and count against the limit, quick retries keep it exceeded. So
+// all sends to the target are held, for longer with each consecutive refusal, and then one call at a time
+// checks whether the limit is free again.
 TEST(Hold, ARefusalOfARareRelayHoldsTheTargetLongerEachTime) {
   Time first = 0, second = 0;
   for (std::uint64_t seed = 1; seed <= 20; seed++) {
@@ -299,7 +301,7 @@
     Time from = r.now;
     while (r.out.empty() && r.now < from + 12 * kS) r.run_to(r.now + 50 * kMs);
     first += r.now - from;
-    ASSERT_EQ(r.out.size(), 1u) << "tried again, one at a time";
+    ASSERT_EQ(r.out.size(), 1u) << "after the hold exactly one call must be made";
     r.end(r.out[0].id, Outcome::full);
     from = r.now;
     while (r.out.empty() && r.now < from + 12 * kS) r.run_to(r.now + 50 * kMs);
@@ -321,7 +323,8 @@
   r.end(early, Outcome::served);
   EXPECT_EQ(r.sends_of(held), 1);
 }
-// Every relay that asked was told the same moment of opening: they must not all come then.
+// Every relay was told the same moment at which the destination is available again. They must not all call
+// then.
 TEST(Shut, RelaysToldOfTheOpeningDoNotAllComeThen) {
   for (const bool apart : {false, true}) {
     auto s = plain();
@@ -330,7 +333,7 @@
     for (std::uint64_t seed = 1; seed <= 60; seed++) {
       Relay r(s, seed);
       r.list({{.id = "a", .destination = 1}});
-      r.run_to(r.now + 40 * kS);  // a call a minute or so
+      r.run_to(r.now + 40 * kS);  // so its rate is about a call a minute
       const auto id = r.arrive(kUnsafe);
       r.end(id, Outcome::full, 6 * kS);
       const Time opens = r.now + 6 * kS;
@@ -338,22 +341,23 @@
       EXPECT_EQ(r.sends_between(r.sent[0].at + 1, opens), 0);
       soon += r.sends_of(id) - 1;
     }
-    EXPECT_LT(soon, 12);  // a cold destination stands 0.4 of what is asked of it
+    EXPECT_LT(soon, 12);  // a cold destination withstands only 0.4 of its usual load
   }
 }
 
-// What can't be sent in time any more is answered in that round, not held until its time is up.
+// A message that can't be sent in time any more is answered in that round instead of being held until its
+// deadline.
 TEST(GivenUp, AToldWaitPastTheLastSendIsAnsweredAtOnce) {
   auto s = plain();
   s.retry_after_max = 2 * kS;
   for (const auto c : {kSafe, kUnsafe, kKeyed}) {
     Relay r(s);
     r.list({{.id = "a", .destination = 1}});
-    const auto other = r.arrive(c, 1, "", 5 * kS);  // waits for nothing: its call is out
+    const auto other = r.arrive(c, 1, "", 5 * kS);  // not affected: its call is in flight
     const auto id = r.arrive(c, 1, "", 4 * kS);
     r.end(id, Outcome::full, 10 * kS);
-    EXPECT_EQ(r.refused.count(id), 1u) << "handed back: it never ran";
-    EXPECT_EQ(r.come_back[id], 2 * kS);  // the wait, as far as clients obey
+    EXPECT_EQ(r.refused.count(id), 1u) << "must be refused, because it never ran";
+    EXPECT_EQ(r.come_back[id], 2 * kS);  // the told wait, limited to what clients obey
     const auto late = r.arrive(c, 1, "", 3 * kS);
     EXPECT_EQ(r.refused.count(late), 1u);
     EXPECT_EQ(r.refused.count(other) + r.failed.count(other), 0u);
@@ -365,10 +369,10 @@
     s.relays = 300, s.retry_after_max = 2 * kS;
     Relay r(s);
     r.list({{.id = "a", .destination = 1}});
-    if (out) r.arrive(kUnsafe);  // its serve would end the hold
+    if (out) r.arrive(kUnsafe);  // if it is served, the hold ends
     const auto id = r.arrive(kSafe, 1, "", 500 * kMs);
     r.end(id, Outcome::full);
-    EXPECT_EQ(r.failed.count(id), out ? 0u : 1u);  // it can't come back in time either
+    EXPECT_EQ(r.failed.count(id), out ? 0u : 1u);  // it could not be submitted again in time either
     EXPECT_EQ(r.refused.count(id), 0u);
   }
 }
@@ -390,7 +394,7 @@
 TEST(GivenUp, IsFailedWhereARefusedCallCostsMoreThanItIsWorth) {
   auto s = plain();
   s.attempts_max = 1, s.refused_price = 0.4;
-  for (const Time left : {5500 * kMs, 2000 * kMs}) {  // at its best; worth little any more
+  for (const Time left : {5500 * kMs, 2000 * kMs}) {  // before its aim; late, so worth little
     Relay r(s);
     r.list({{.id = "a", .destination = 1}});
     const auto id = r.arrive(kSafe, 1, "", left);
@@ -399,7 +403,7 @@
     EXPECT_EQ(r.failed.count(id), left > 5 * kS ? 0u : 1u);
   }
 }
-// One class fails at one endpoint: the siblings take that class, the endpoint keeps the others.
+// If one class fails at one endpoint, the siblings get that class, and the endpoint keeps getting the others.
 TEST(Classes, OneThatFailsAtAnEndpointGoesToItsSiblings) {
   Relay r;
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}});
@@ -426,7 +430,7 @@
       std::vector<Endpoint> endpoints = {{.id = "a", .destination = 1}};
       for (int d = 2; d < 22; d++) endpoints.push_back({.id = std::to_string(d), .destination = d});
       r.list(endpoints);
-      for (int d = 2; d < 22; d++) {  // this relay met refusals that came again, elsewhere
+      for (int d = 2; d < 22; d++) {  // make this relay see repeated refusals elsewhere
         r.arrive(kSafe, d);
         for (int i = 0; i < 10; i++) {
           for (const auto& sent : std::vector<Sent>(r.out)) r.end(sent.id, Outcome::full);
@@ -446,7 +450,7 @@
   }
   EXPECT_EQ(quiet_sends, 20u);
   EXPECT_LT(told_sends, 10u);
-  EXPECT_GE(back, 35);  // of 40: the effect ages out
+  EXPECT_GE(back, 35);  // of 40: the effect expires
 }
 TEST(Notes, AreSentOnRefusalsOnlyWhereAllowedAndNotMoreThanOneAWhile) {
   for (const bool peers : {false, true}) {
@@ -501,8 +505,8 @@
   for (auto id : dear) EXPECT_EQ(r.refused.count(id), 0u);
 }
 
-// Connections cost a set-up, so idle ones are kept, until a failed connect (full tables) or silence on one
-// that had been idle (it died unseen) speaks against those of that kind.
+// Connections cost a set-up, so idle ones are kept until there is evidence against those of their kind: a
+// failed connect (a full connection table), or no answer on one that had been idle (it died unnoticed).
 TEST(Connections, ThoseHardlyUsedAgainAreClosedWhereIdleOnesAreDistrusted) {
   enum { nothing, full_table, died_unseen };
   for (const int sign : {nothing, full_table, died_unseen}) {
@@ -519,7 +523,7 @@
     if (sign == nothing) r.end(lost, Outcome::served);
     if (sign == full_table) r.end(lost, Outcome::connect_failed);
     if (sign == died_unseen) r.end(lost, Outcome::timeout);
-    EXPECT_EQ(r.idle_closed["busy"].size(), sign == nothing ? 0u : 1u);  // all idle ones of that kind, once
+    EXPECT_EQ(r.idle_closed["busy"].size(), sign == nothing ? 0u : 1u);  // all of that kind, once
     r.idle_closed.clear();
     for (int i = 0; i < 3; i++) {
       const auto id = r.arrive(kSafe, 1);
@@ -550,9 +554,9 @@
   r.run_to(r.now + 20 * kS);
   EXPECT_EQ(r.asked.size(), n);
 }
-// What a failed call missed counts as told 6 s after discovery can be asked again. A call made just before
-// may take 2 s to fail, and the next one 2 s to be answered: what lies between is no longer than what is
-// left.
+// Changes missed by a failed list call count as received 6 s after discovery can be reached again. A call
+// made just before that may take 2 s to fail, and the next one 2 s to be answered, so at most 2 s may lie
+// between them.
 TEST(List, HoweverOftenItFailedItIsAskedForWithinTwoSeconds) {
   auto s = plain();
   s.subscribe = true;
@@ -569,7 +573,7 @@
     }
   }
 }
-// An endpoint of a kind that the settings don't name: nothing that they say of the first kind holds for it.
+// An endpoint of a kind that is not in the settings must not get the settings of the first kind.
 TEST(List, AnUnknownKindIsNotTheFirst) {
   auto s = plain();
   s.kinds.resize(1), s.kinds[0].bundle_max = 4, s.slots = 1;
@@ -602,14 +606,14 @@
   s.classes[kSafe].ordered = true, s.settle_after_doubt = 700 * kMs;
   Relay r(s);
   std::size_t most = 0;
-  for (int i = 1; i <= 5000; i++) {  // each with an endpoint, a destination and a key of its own
+  for (int i = 1; i <= 5000; i++) {  // each with its own endpoint, destination and order key
     Endpoint e{.id = std::to_string(i), .destination = i};
     r.change(e);
     const auto id = r.arrive(kSafe, i, "key" + std::to_string(i));
     r.run_to(r.now + 50 * kMs);
     if (r.sends_of(id) == 1)
       r.end(id, i % 3 == 0 ? Outcome::timeout : i % 7 == 0 ? Outcome::connect_failed : Outcome::served);
-    r.arrive(kSafe, -i, "other" + std::to_string(i), 100 * kMs);  // nothing is listed there
+    r.arrive(kSafe, -i, "other" + std::to_string(i), 100 * kMs);  // no endpoint is listed for it
     e.listing = Listing::gone;
     r.change(e);
     r.run_to(r.now + 50 * kMs);
@@ -624,7 +628,7 @@
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const auto served = r.arrive(kSafe), lost = r.arrive(kUnsafe), refused = r.arrive(kSafe);
-  r.list({{.id = "b", .destination = 2}});  // "a" is gone with three calls out
+  r.list({{.id = "b", .destination = 2}});  // "a" leaves the list with three calls in flight
   r.run_to(r.now + 1 * kS);
   r.list({{.id = "b", .destination = 2}});
   r.end(served, Outcome::served);
@@ -635,7 +639,7 @@
   EXPECT_EQ(r.failed.count(refused) + r.refused.count(refused), 1u);
   r.list({{.id = "b", .destination = 2}});
   EXPECT_LE(r.kept(), 2u);
-  r.change({.id = "a", .destination = 1});  // and comes back
+  r.change({.id = "a", .destination = 1});  // and returns
   EXPECT_EQ(r.sends_of(r.arrive(kSafe)), 1);
 }
 
@@ -646,7 +650,7 @@
            event::PeerNote{}});
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kSafe);
-  r.change({.id = "a", .destination = 1, .listing = Listing::gone});  // gone while a call is out
+  r.change({.id = "a", .destination = 1, .listing = Listing::gone});  // leaves the list with a call in flight
   r.end(id, Outcome::served);
   r.round({event::Withdrawn{id}});
   EXPECT_TRUE(r.failed.empty());
