--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -28,7 +28,9 @@
 // Factor on success; random deviation either way, as a share of the delay.
 constexpr double kFactor = 0.2, kJitter = 0.25;
 constexpr double kAgingHalfLife = 20;  // an unused delay halves in this time
+
 // Pace: the rate limit that this relay sets for itself after refusals.
+
 // Averaging time of served and refused rates; of first attempts at an endpoint, which may be few a minute.
 constexpr double kRateMemory = 4;
 constexpr double kLongMemory = 30;
@@ -48,10 +50,12 @@
 // Up to this many relays, the refusals and failures that each relay must see for itself are not too many.
 constexpr int kFewRelays = 8;
 constexpr double kBurst = 0.3;  // unused pace that may be saved up
-// Share of recent calls refused from which a refusal cuts in full; with fewer calls the share says nothing.
+// Share of recent calls refused from which a refusal cuts in full, and the number of recent calls below which
+// that share says nothing.
 constexpr double kFullCutShare = 0.15;
 constexpr double kEnoughCalls = 20;
 constexpr double kPaceRegain = 0.85;  // additional growth a second if nothing is refused
+
 // Endpoint health.
 constexpr int kCloseRun = 3;  // failure signs without a serve that close an endpoint
 // Refusals without a serve that mean an outage instead of a limit, if they span at least this time.
@@ -72,12 +76,14 @@
 // Seconds of a relay's own calls that must fail to close an endpoint, up to the number of failure signs
 // above.
 constexpr double kEvidence = 3;
+
 // Slots: largest share of them for one endpoint, for the trial calls of all closed endpoints together, and
 // for an endpoint that shows failure signs.
 constexpr double kTargetSlots = 0.5;
 constexpr double kTrialSlots = 0.25;
 constexpr double kDoubtSlots = 0.125;
 constexpr int kBaseCalls = 3;  // calls in flight that need no served rate to justify them
+
 // Time-outs of calls.
 constexpr double kTimeoutTimes = 8;  // in recent latencies
 // Shortest time-out of repeatable messages, and of unrepeatable ones, which are lost when a call times out.
@@ -87,16 +93,23 @@
 constexpr double kLatencyGain = 0.2, kUsualGain = 0.02, kSlownessGain = 0.1;
 constexpr double kMostSlow = 20;        // upper bound of one answer's latency, in usual latencies
 constexpr double kFirstLatency = 0.25;  // assumed before the first answer
+
 // Choice of the endpoint: price factor where the last call of the message's class failed; cost of a refused
 // call (set-up and delay), on the scale of the zone fees.
 constexpr double kClassShy = 4;
 constexpr double kCallCost = 0.1;
+
 // Connections.
+
 // Time between two calls to an endpoint: weight of the newest, and the longest that is counted.
 constexpr double kGapGain = 0.3, kMostGap = 100;
-constexpr double kIdleDoubt = 0.1;  // an unused connection may be dead after this share of the idle time-out
-constexpr double kIdleSpared = 8;   // idle connections of all relays that an endpoint can afford
+// Share of the idle time-out after which an unused connection may be dead.
+constexpr double kIdleDoubt = 0.1;
+// Idle connections of all relays together that an endpoint can afford.
+constexpr double kIdleSpared = 8;
+
 // List and buffer.
+
 // First and longest wait before the list is requested again. A list call takes up to 2 s. Changes missed by a
 // failed call count as received 6 s after discovery can be reached again, so the longest wait, with its
 // jitter, must fit between two such calls.
@@ -216,7 +229,7 @@
   const ClassSettings* cls = nullptr;
   DestinationId destination = 0;
   double worth = 0;
-  Time aim = 0, deadline = 0, ready = 0;  // points in time; ready: earliest next send
+  Time aim = 0, deadline = 0, ready = 0;  // points in time; the last is the earliest next send
   std::string key;                        // order key; empty: none
   int sends = 0, gave_up = -1;            // attempts made; the last attempt that this relay cancelled
   std::map<int, std::uint64_t> out;       // attempts in flight, each with its call
@@ -253,7 +266,8 @@
   std::vector<Time> share_at;        // by tenant: when the tokens were last updated
   // In seconds: the unit of the LIMD delay, and the shortest aim and deadline of all classes.
   double unit = 0.1, shortest_aim = 1, shortest_life = 1;
-  std::vector<Time> no_connection;    // by kind: when a failed connect or dead idle connection was last seen
+  // By kind: when a failed connect or a dead idle connection was last seen.
+  std::vector<Time> no_connection;
   std::vector<double> after_refusal;  // by kind: share of calls that are served after a refusal
   double slowness = 1;                // recent latency of all serves, in usual latencies
   // Earliest next peer note; the timer that is set; next list request; earliest wake-up that is needed.
