--- a/tests/faults/control.hpp
+++ b/tests/faults/control.hpp
@@ -1,5 +1,5 @@
-// What the fault library does to the process that it is loaded into: plain numbers in a file that both map,
-// so that a test changes them while the process runs. 0 means that a call works as ever.
+// Control block of the fault-injection library (preload.cpp): plain numbers in a file that the test and the
+// relay process both map, so that a test can change them while the process runs. 0 leaves a call unchanged.
 #pragma once
 
 #include <fcntl.h>
@@ -11,24 +11,24 @@
 
 namespace cedarplank::testing::faults {
 
-constexpr const char* kControlFile = "CEDARPLANK_FAULTS";  // the environment variable that names the file
+constexpr const char* kControlFile = "CEDARPLANK_FAULTS";  // environment variable with the path of the file
 
 struct Control {
-  // Error numbers of calls on the lasting folder.
+  // errno values for calls on the journal folder.
   std::atomic<int> write_error, create_error, allocate_error, rename_error, remove_error, read_error;
-  std::atomic<int> write_part;     // bytes that a write that fails takes all the same
-  std::atomic<int> kill_in_write;  // the next write takes so many bytes less one, then the process is killed
-  // Error numbers of calls on sockets.
+  std::atomic<int> write_part;     // bytes that the first failing write still writes
+  std::atomic<int> kill_in_write;  // n > 0: the next write writes n - 1 bytes, then SIGKILL
+  // errno values for calls on sockets.
   std::atomic<int> accept_error, socket_error, connect_error;
-  std::atomic<int> receive_error, receive_error_each;  // one in so many reads of a socket fails so
-  std::atomic<int> interrupt_polls;                    // every other poll(2) ends with EINTR
-  std::atomic<int> short_io;                           // bytes that a read or write of a socket takes at most
-  std::atomic<std::int64_t> wall_shift;                // us that the wall clock is ahead
-  std::atomic<int> hide_boot_id;
-  std::atomic<std::uint64_t> hits;  // calls that were made to fail
+  std::atomic<int> receive_error, receive_error_each;  // every n-th socket read fails with receive_error
+  std::atomic<int> interrupt_polls;                    // every other poll(2) fails with EINTR
+  std::atomic<int> short_io;                           // maximum bytes per socket read or write
+  std::atomic<std::int64_t> wall_shift;                // us added to the wall clock
+  std::atomic<int> hide_boot_id;                       // opening the boot id file fails with ENFILE
+  std::atomic<std::uint64_t> hits;                     // calls made to fail so far
 };
 
-// Null where the file can't be mapped.
+// Maps the control file, creating it if asked to. Returns null where the file cannot be mapped.
 inline Control* map_control(const char* file, bool create) {
   const int fd = open(file, O_RDWR | O_CLOEXEC | (create ? O_CREAT : 0), 0600);
   if (fd < 0) return nullptr;
--- a/tests/faults/fleet.cpp
+++ b/tests/faults/fleet.cpp
@@ -12,24 +12,24 @@
 namespace cedarplank::testing::faults {
 namespace {
 
-constexpr Time kClientWaits = 400'000;  // PROTOCOL, clients to relays
-constexpr Time kKillAfter = 3'700'000;  // PROTOCOL, figures
-constexpr Time kStartAfter = 600'000;   // the same
+constexpr Time kClientWaits = 400'000;  // platform protocol: planned long clients wait
+constexpr Time kKillAfter = 3'700'000;  // platform protocol: SIGKILL so long after SIGTERM
+constexpr Time kStartAfter = 600'000;   // platform protocol: a new process so long after the end of the last
 constexpr Time kReadyWithin = 10'000'000;
-constexpr Time kTurn = 5'000;
+constexpr Time kTurn = 5'000;  // longest wait of one loop iteration
 constexpr Time kCheckEvery = 20'000;
-constexpr int kFirstGroup = 7;
+constexpr int kFirstGroup = 7;            // group of the first destination
 constexpr std::size_t kMostLog = 20'000;  // lines
 constexpr std::size_t kMostRecent = 200;  // requests
 
-// Addresses of the relays: of this process alone, so that tests may run side by side.
+// Address of a relay: unique to this test process, so that tests can run in parallel.
 std::string relay_address(int relay) {
   const int pid = getpid();
   return "127." + std::to_string(64 + pid % 128) + "." + std::to_string(pid / 128 % 250) + "." +
          std::to_string(relay + 1) + ":8081";
 }
 
-// The ids of a bulk call's messages.
+// The message ids in the body of a bulk call.
 std::vector<std::string> bulk_ids(const std::string& body) {
   std::vector<std::string> ids;
   for (std::size_t at = 0; at < body.size();) {
@@ -140,8 +140,9 @@
         if (log.size() < kMostLog) log.push_back(line);
       });
   r.ended_by_us = false, r.ready = false, r.launches++;
-  // A refusal that an earlier process gave may not be on record (its folder failed), and "handing it in again
-  // is harmless" (PROTOCOL): such an id is not repeated to this one.
+  // A refusal by an earlier process may not have been recorded (its folder failed), and the platform protocol
+  // says of refused requests that "handing it in again is harmless": such an id is not repeated to the new
+  // process.
   std::erase_if(ended_ids_, [&](const auto& id) {
     const Request& request = judge.requests.at(id);
     return request.relay == relay && request.ended_by == "answer 503";
@@ -149,13 +150,13 @@
   check(relay);
 }
 
-// Asks for its health until that is 200, and sees whether it has ended unbidden.
 void Fleet::check(int relay) {
   Relay& r = at(relay);
   if (!r.process) return;
   if (!r.process->running()) {
     if (!r.ended_by_us)
-      judge.crashes.push_back("crash: relay " + std::to_string(relay) + " ended by itself, code " +
+      judge.crashes.push_back("crash: relay " + std::to_string(relay) +
+                              " exited without a signal from the test, exit code " +
                               std::to_string(r.process->exit_code()));
     r.process.reset();
     r.ready = false;
@@ -165,11 +166,11 @@
   if (!r.ready) {
     const auto link = connect(relay);
     link->done = [this, relay](int status) {
-      Relay& now = at(relay);
-      if (status != 200 || !now.process) return;
-      now.ready = true;
-      if (now.restart > 0 && judge.restarts[now.restart - 1].ready == 0)
-        judge.restarts[now.restart - 1].ready = loop::monotonic_now();
+      Relay& current = at(relay);
+      if (status != 200 || !current.process) return;
+      current.ready = true;
+      if (current.restart > 0 && judge.restarts[current.restart - 1].ready == 0)
+        judge.restarts[current.restart - 1].ready = loop::monotonic_now();
     };
     link->stream->write("GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
   }
@@ -192,7 +193,7 @@
 void Fleet::signalled(int relay) {
   Relay& r = at(relay);
   r.ended_by_us = true;
-  // Told to end again before it was ready: from now on the next start counts.
+  // Signalled again before it was ready: from now on the time to the next start counts.
   if (r.restart > 0 && judge.restarts[r.restart - 1].ready == 0)
     judge.restarts[r.restart - 1].ready = loop::monotonic_now();
   judge.restarts.push_back({relay, loop::monotonic_now(), 0});
@@ -225,17 +226,17 @@
   signalled(relay);
   at(relay).process->signal(SIGTERM);
   loop.after(kKillAfter, [this, relay, launch = at(relay).launches, alive = alive_] {
-    if (!*alive || at(relay).launches != launch) return;  // killed before that
+    if (!*alive || at(relay).launches != launch) return;  // already restarted
     at(relay).process.reset();
     at(relay).ready = false;
     launch_later(relay);
   });
 }
 
-bool Fleet::until(const std::function<bool()>& what, Time within) {
+bool Fleet::until(const std::function<bool()>& condition, Time within) {
   const Time end = loop::monotonic_now() + within;
   Time before = loop::monotonic_now();
-  while (!what()) {
+  while (!condition()) {
     if (loop::monotonic_now() > end) return false;
     loop.run_once(kTurn);
     const Time now = loop::monotonic_now();
@@ -276,7 +277,7 @@
   }
   if (!discovery_up) return {http1::response(503, {}, {}, false), Server::Reply::Then::close};
   if (m.target == "/catalog/members") return {http1::response(200, {}, list(), false)};
-  // Nothing ever changes here: a watch waits, one that asks for what was missed hears that there is nothing.
+  // The list never changes: a watch stays open, and a request for missed changes gets an empty answer.
   if (m.target.find("wait_ms=0") == std::string::npos) return {};
   return {http1::response(200, {}, R"({"index":1,"snapshot":false,"endpoints":[]})", false)};
 }
@@ -310,23 +311,23 @@
     ids = bulk_ids(m.body);
   else if (const auto* id = m.find("x-call-id"))
     ids.push_back(*id);
-  Reply how = reply(endpoint, ids.empty() ? std::string() : ids.front());
+  Reply planned = reply(endpoint, ids.empty() ? std::string() : ids.front());
   if (const auto it = judge.requests.find(ids.empty() ? std::string() : ids.front());
       settings_.endpoints_know_ends && it != judge.requests.end() &&
       (it->second.ended > 0 || it->second.abandoned))
-    how = {Reply::What::over};
+    planned = {Reply::What::over};
   using What = Reply::What;
-  const bool ran = how.what != What::refuse && how.what != What::told_wait && how.what != What::over &&
-                   how.what != What::exhausted;
+  const bool ran = planned.what != What::refuse && planned.what != What::told_wait &&
+                   planned.what != What::over && planned.what != What::exhausted;
   if (m.target == "/inbox" && m.body != settings_.body)
     judge.crashes.push_back("another request's body was sent under the id " + ids.front());
   for (const auto& id : ids)
     if (const auto it = judge.requests.find(id); it != judge.requests.end())
       it->second.calls.push_back({now, endpoint, ran});
   Server& server = *endpoints_.at(endpoint).server;
-  loop.after(how.after, [this, &server, how, ids, endpoint, connection, alive = alive_] {
+  loop.after(planned.after, [this, &server, planned, ids, endpoint, connection, alive = alive_] {
     if (!*alive || !server.has(connection)) return;
-    switch (how.what) {
+    switch (planned.what) {
       case Reply::What::hang:
         return;
       case Reply::What::reset:
@@ -335,11 +336,12 @@
         return server.write(connection, http1::response(503, {}, {}, false));
       case Reply::What::told_wait:
         if (const auto it = judge.requests.find(ids.front()); it != judge.requests.end()) {
-          const Time told = loop::monotonic_now();
-          judge.waits.push_back({endpoint, it->second.relay, told, told + how.wait});
+          const Time told_at = loop::monotonic_now();
+          judge.waits.push_back({endpoint, it->second.relay, told_at, told_at + planned.wait});
         }
         return server.write(
-            connection, http1::response(429, {{"Retry-After", http1::seconds_text(how.wait)}}, {}, false));
+            connection,
+            http1::response(429, {{"Retry-After", http1::seconds_text(planned.wait)}}, {}, false));
       case Reply::What::error:
         return server.write(connection, http1::response(500, {}, {}, false));
       case Reply::What::over:
@@ -347,7 +349,7 @@
         const auto it = judge.requests.find(ids.front());
         if (it != judge.requests.end() && it->second.said_over == 0)
           it->second.said_over = loop::monotonic_now();
-        const int status = how.what == Reply::What::over ? 410 : 504;
+        const int status = planned.what == Reply::What::over ? 410 : 504;
         return server.write(connection, http1::response(status, {}, {}, false));
       }
       case Reply::What::ok:
@@ -449,7 +451,7 @@
   if (recent_ids_.empty()) return;
   const auto id = recent_ids_[random() % recent_ids_.size()];
   const Request& request = judge.requests.at(id);
-  // An id that an earlier process refused may come again: see launch().
+  // Refused ids are not repeated: an earlier process's refusal may not be on record (see launch()).
   const bool refused = std::any_of(request.answers.begin(), request.answers.end(),
                                    [](const Answer& answer) { return answer.refuses(); });
   if (request.relay == relay && !refused) repeat(id);
@@ -504,8 +506,8 @@
   at(relay).idle.push_back(link);
 }
 
-// A request that crosses the end of its connection is sent once more on a new one. Its client
-// can't tell whether it was read, so it does so wherever its connection ends with no answer.
+// A request whose connection closes without an answer is sent once more on a new connection: the client
+// cannot tell whether the relay has read it.
 void Fleet::lost(int relay, const ClientLinkPtr& link, const std::string&) {
   std::erase(at(relay).idle, link);
   std::erase(at(relay).crowd, link);
@@ -517,7 +519,7 @@
   send_once_more(id);
 }
 
-// At once, or, where its relay is not there, when it is there again.
+// Sends a second copy at once or, while the relay is not ready, when it is ready again.
 void Fleet::send_once_more(const std::string& id) {
   Request& request = judge.requests.at(id);
   if (request.copies > 1 || loop::monotonic_now() > request.deadline) {
@@ -548,7 +550,7 @@
   const double gap = std::exponential_distribution<double>(per_second_)(random);
   loop.after(static_cast<Time>(gap * 1e6) + 1, [this, relay, run, alive = alive_] {
     if (!*alive || run != traffic_run_) return;
-    // The front sends to relays that are ready; clients go on using the connections that they have.
+    // New connections go to ready relays only; clients keep using the connections that they have.
     Relay& r = at(relay);
     if (r.process && (r.ready || !r.idle.empty()))
       hand_in(relay, std::uniform_real_distribution<>()(random) >= unsafe_share_,
--- a/tests/faults/fleet.hpp
+++ b/tests/faults/fleet.hpp
@@ -1,5 +1,6 @@
-// Relays as real processes on loopback, with the fault library loaded, between clients, endpoints and a
-// platform of the tests' own. Everything but the relays runs in one loop; what is seen goes to a Judge.
+// Test fixture for fault injection: runs relays as real processes on loopback with the fault library loaded,
+// between simulated clients, endpoints and a platform (discovery and notices). Everything but the relays runs
+// in one event loop; the rule checker (judge.hpp) records what is observed.
 #pragma once
 
 #include <functional>
@@ -21,25 +22,26 @@
 using platform::testing::Server;
 
 struct FleetSettings {
-  std::string program, library;  // the relay's program, and the fault library
+  std::string program, library;  // paths of the relay program and of the fault library
   std::uint64_t seed = 1;
   int relays = 1, destinations = 3, endpoints_each = 2;
   Time safe_deadline = 2'000'000, unsafe_deadline = 3'000'000;
   int slots = 16;
-  bool proxied = false;      // connections to endpoints pass a proxy that may hold them
-  bool routes_apart = true;  // each endpoint has a limit of its own
+  bool proxied = false;      // connections to endpoints pass a proxy that may delay them
+  bool routes_apart = true;  // each endpoint has its own limit
   std::string body = "hello";
-  // Endpoints answer 410 to a call of a message that had its end, or that its client has given up.
+  // Endpoints answer 410 to a call of a message that has its final answer, or that its client has abandoned.
   bool endpoints_know_ends = false;
 };
 
-// What an endpoint does with a call.
+// How an endpoint responds to a call. `over` is 410, `exhausted` 504.
 struct Reply {
   enum class What { ok, refuse, told_wait, error, hang, reset, over, exhausted } what = What::ok;
   Time after = 5'000;
-  Time wait = 0;  // told, where What::told_wait
+  Time wait = 0;  // Retry-After, for What::told_wait
 };
 
+// Relays, clients, endpoints and platform of one test.
 class Fleet {
  public:
   explicit Fleet(FleetSettings settings);
@@ -48,47 +50,49 @@
   loop::Loop loop;
   Judge judge;
   std::mt19937_64 random;
-  // Asked for each call that has come whole.
+  // Called for each call that has been received completely.
   std::function<Reply(const std::string& endpoint, const std::string& id)> reply =
       [](const auto&, const auto&) { return Reply{}; };
+  // Called for each new connection to an endpoint, where `proxied`: how long the proxy holds it.
   std::function<Time()> proxy_delay = [] { return Time{0}; };
-  // Asked for each request that is written: after so long its client's connection is reset; nothing: it
-  // isn't.
+  // Called for each request that is written: after how long its client's connection is reset, if at all.
   std::function<std::optional<Time>()> client_break = [] { return std::nullopt; };
-  double hedged = 0;  // share of requests whose client sends a second copy at once, on another connection
+  double hedged = 0;  // share of requests sent twice at once, on two connections
   bool discovery_up = true;
 
   Control& faults(int relay) { return *relays_.at(static_cast<std::size_t>(relay)).control; }
-  // False where it was not ready within 10 s.
+  // Starts the relay. Returns false where it was not ready within 10 s.
   bool start(int relay);
   bool start_all();
   void kill(int relay);  // SIGKILL, and a new process 0.6 s later
-  // The same by the process itself, within its next write to the folder, of which so many bytes get through.
+  // The same, during the relay's next write to the journal folder, after so many bytes of it.
   void kill_in_write(int relay, int bytes);
   void terminate(int relay);  // SIGTERM, SIGKILL 3.7 s later, and a new process 0.6 s after that
   void run(Time span);
-  bool until(const std::function<bool()>& what, Time within);
-  // No traffic and no faults any more, until every request must have its end.
+  // Runs the loop until the condition holds. Returns false where it did not in time.
+  bool until(const std::function<bool()>& condition, Time within);
+  // Stops traffic and faults, and runs until every request must have its final answer.
   void settle();
 
-  // Hands one request in and returns its id. Its client waits 400 ms.
+  // Submits one request and returns its id. Its client waits 400 ms for the answer.
   std::string hand_in(int relay, bool repeatable, int destination = 0, const std::string& id = {});
-  // Requests a second to each relay from now on; 0: none.
+  // Sends so many requests per second to each relay from now on; 0: none.
   void traffic(double per_second, double unsafe_share = 0.5);
-  // Connections that ask once for the relay's health, or for nothing, and stay.
+  // Opens connections that stay open; every other one sends a single health request, the rest send nothing.
   void crowd(int relay, int connections);
-  // Hands in again the id of a request that has had its end.
+  // Sends another copy of a random request that has its final answer.
   void repeat_an_ended_id(int relay);
-  // One more copy of a request, whatever became of it, on a connection of its own.
+  // Sends another copy of a request, whatever its state, on a new connection.
   void repeat(const std::string& id);
   void repeat_a_recent_one(int relay);
-  // Another request under the id of one that was taken on; its sender's answer says nothing of that one.
+  // Sends a request with another body under the id of an accepted one. The answer to it is not checked
+  // against the accepted request.
   void misuse_the_id_of(
       const std::string& id, std::function<void(int)> answered = [](int) {});
   void misuse_a_recent_id(int relay);
-  // The endpoint accepts connections and reads nothing from them.
+  // Whether the endpoint stops reading; it still accepts connections.
   void deafen(const std::string& endpoint, bool deaf);
-  std::string end_of(const std::string& id) const;  // "delivered", "notice returned", ...; empty: none
+  std::string end_of(const std::string& id) const;  // "delivered", "notice returned", ...; empty: none yet
   const std::vector<std::string>& log(int relay) const {
     return relays_.at(static_cast<std::size_t>(relay)).log;
   }
@@ -97,14 +101,16 @@
   bool running(int relay) { return relays_.at(static_cast<std::size_t>(relay)).process != nullptr; }
 
  private:
+  // A client's connection to a relay.
   struct ClientLink {
     std::unique_ptr<net::TcpStream> stream;
     http1::Reader reader{http1::Reader::Side::responses};
-    std::string id;  // of the request that is open
+    std::string id;  // of the request awaiting its answer
     loop::TimerId timer = 0;
     int requests = 0;
-    bool once = false;              // ends with its answer
-    std::function<void(int)> done;  // for what is no message: its status, 0 where the connection ended
+    bool once = false;  // closed after its answer
+    std::function<void(int)>
+        done;  // for requests that the checker does not track: gets the status, 0 where the connection closed
   };
   using ClientLinkPtr = std::shared_ptr<ClientLink>;
   struct Relay {
@@ -113,7 +119,7 @@
     std::unique_ptr<rig::Process> process;
     bool ended_by_us = true, ready = false, start_when_gone = false;
     int launches = 0;
-    std::size_t restart = 0;  // place in judge.restarts, plus one
+    std::size_t restart = 0;  // index in judge.restarts plus one; 0: none
     std::vector<std::string> log;
     std::vector<ClientLinkPtr> idle, crowd;
     std::map<ClientLink*, ClientLinkPtr> busy;
@@ -126,18 +132,24 @@
   Relay& at(int relay) { return relays_.at(static_cast<std::size_t>(relay)); }
   std::string config(int relay) const;
   std::string list() const;
+  // The platform's HTTP interface: notices, the list of endpoints, and the watch on it.
   Server::Reply discovery(const http1::Message& request);
+  // A call arrived at an endpoint.
   Server::Reply called(const std::string& endpoint, const http1::Message& request, int connection);
   void notices(const std::string& body);
   void launch(int relay);
+  // Polls the relay's health until it is ready, and notices when its process has exited.
   void check(int relay);
+  // Records that a signal to end the relay is sent now.
   void signalled(int relay);
   void launch_later(int relay);
   ClientLinkPtr connect(int relay);
   void write(int relay, const ClientLinkPtr& link, const std::string& id);
   void answered(int relay, const ClientLinkPtr& link);
   void send_once_more(const std::string& id);
+  // The relay or a fault closed the connection.
   void lost(int relay, const ClientLinkPtr& link, const std::string& why);
+  // The client closes the connection.
   void release(int relay, const ClientLinkPtr& link);
   void next_request(int relay);
 
@@ -148,9 +160,9 @@
   std::unique_ptr<Server> discovery_;
   std::vector<std::string> ended_ids_, recent_ids_;
   double per_second_ = 0, unsafe_share_ = 0;
-  std::uint64_t traffic_run_ = 0;
+  std::uint64_t traffic_run_ = 0;  // so that timers of earlier traffic end
   int next_id_ = 0;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false for timers that outlive this
 };
 
 }  // namespace cedarplank::testing::faults
--- a/tests/faults/judge.cpp
+++ b/tests/faults/judge.cpp
@@ -6,10 +6,11 @@
 namespace cedarplank::testing::faults {
 namespace {
 
-constexpr Time kOverdue = 350'000;         // after its time: lost (PROTOCOL, the rules on sockets)
-constexpr Time kAfterReady = 1'500'000;    // no notice is overdue until then
-constexpr Time kInFlight = 100'000;        // a call that left before the end may still arrive
-constexpr Time kReadyWithin = 10'000'000;  // nine in ten restarted relays
+constexpr Time kOverdue =
+    350'000;  // grace after the deadline; later, a request counts as lost (platform protocol)
+constexpr Time kAfterReady = 1'500'000;    // no notice counts as overdue earlier than this after a restart
+constexpr Time kInFlight = 100'000;        // a call sent before the final answer may still arrive
+constexpr Time kReadyWithin = 10'000'000;  // bound for a restarted relay (platform protocol: for nine in ten)
 
 }  // namespace
 
@@ -32,76 +33,80 @@
   });
 }
 
-void Judge::check_calls(const Request& r, const std::string& what, Verdict& v) const {
+void Judge::check_calls(const Request& r, const std::string& label, Verdict& result) const {
   std::size_t runs = 0;
   for (const auto& call : r.calls) {
     runs += call.ran;
     if (r.ended > 0 && !left_before(call, r.ended))
-      v.broken.push_back("sent after its end: " + what + ", " + r.ended_by + " at " + at(r.ended) +
-                         ", call at " + call.endpoint + " at " + at(call.at));
+      result.broken.push_back("sent after its final answer: " + label + ", " + r.ended_by + " at " +
+                              at(r.ended) + ", call at " + call.endpoint + " at " + at(call.at));
     if (r.said_over > 0 && !left_before(call, r.said_over))
-      v.broken.push_back("sent after an endpoint said that it is over: " + what + ", said at " +
-                         at(r.said_over) + ", call at " + call.endpoint + " at " + at(call.at));
+      result.broken.push_back("sent after an endpoint answered 410 or 504: " + label + ", answered at " +
+                              at(r.said_over) + ", call at " + call.endpoint + " at " + at(call.at));
     for (const auto& wait : waits) {
       if (wait.endpoint != call.endpoint || wait.relay != r.relay) continue;
       const bool restarted = std::any_of(restarts.begin(), restarts.end(), [&](const Restart& x) {
         return x.relay == r.relay && x.signalled < call.at && x.ready > wait.told;
       });
       if (!left_before(call, wait.told) && call.at < wait.until && !restarted)
-        v.broken.push_back("sent against a told wait: " + what + ", told at " + at(wait.told) + " until " +
-                           at(wait.until) + ", call at " + call.endpoint + " at " + at(call.at));
+        result.broken.push_back("sent during a told wait: " + label + ", told at " + at(wait.told) +
+                                " until " + at(wait.until) + ", call at " + call.endpoint + " at " +
+                                at(call.at));
     }
   }
   if (runs > 1 && !r.repeatable)
-    v.broken.push_back("ran twice: " + what + ", " + std::to_string(runs) + " times");
+    result.broken.push_back("ran more than once: " + label + ", " + std::to_string(runs) + " times");
 }
 
-// All copies of a request hear the same of it, whatever else happens. A refusal may be followed by anything:
-// it ends the request, so nothing may be sent after it.
-void Judge::check_answers(const Request& r, const std::string& what, Verdict& v) const {
+// All copies of a request must get consistent answers. A refusal may be followed by any answer: it ends the
+// request, so check_calls() verifies that nothing is sent after it.
+void Judge::check_answers(const Request& r, const std::string& label, Verdict& result) const {
   bool accepted = false, failed = false;
   for (const auto& answer : r.answers) {
     const bool fails = !answer.accepts() && !answer.refuses();
-    // What was taken on has the end that its notice tells, sooner or later.
-    const bool as_noticed = r.noticed > 0 && r.noticed_failed == fails;
-    if (!answer.accepts() && accepted && !as_noticed)
-      v.broken.push_back("taken on, then told as over without such a notice: " + what + ", answer " +
-                         std::to_string(answer.status) + " at " + at(answer.at));
+    // The final answer of an accepted request is the one that its notice reports, before or after this
+    // answer.
+    const bool matches_notice = r.noticed > 0 && r.noticed_failed == fails;
+    if (!answer.accepts() && accepted && !matches_notice)
+      result.broken.push_back("accepted, then answered as ended without a matching notice: " + label +
+                              ", answer " + std::to_string(answer.status) + " at " + at(answer.at));
     if (answer.accepts() && failed)
-      v.broken.push_back("told as failed, then accepted: " + what + " at " + at(answer.at));
+      result.broken.push_back("answered as failed, then accepted: " + label + " at " + at(answer.at));
     if (!answer.accepts() && r.delivered > 0 && r.accepted() && r.noticed == 0 &&
         answer.at > r.delivered + kInFlight + lag)
-      v.broken.push_back("delivered, then told as not: " + what + ", answer " +
-                         std::to_string(answer.status) + " at " + at(answer.at));
+      result.broken.push_back("delivered, then answered as not delivered: " + label + ", answer " +
+                              std::to_string(answer.status) + " at " + at(answer.at));
     accepted = accepted || answer.accepts(), failed = failed || fails;
   }
 }
 
 Verdict Judge::verdict(Time now) const {
-  Verdict v;
-  v.broken = crashes;
+  Verdict result;
+  result.broken = crashes;
   for (const auto& restart : restarts)
     if ((restart.ready == 0 ? now : restart.ready) - restart.signalled > kReadyWithin + lag)
-      v.broken.push_back("relay " + std::to_string(restart.relay) + " told to end at " +
-                         at(restart.signalled) + " was not ready again in time");
+      result.broken.push_back("relay " + std::to_string(restart.relay) + " signalled at " +
+                              at(restart.signalled) + " was not ready again in time");
   for (const auto& [id, r] : requests) {
-    v.handed_in++;
-    v.accepted += r.accepted(), v.delivered += r.accepted() && r.delivered > 0 && r.delivered <= r.deadline;
-    v.refused += r.status == 503 || r.status == 429;
-    v.unanswered += r.status == 0, v.ended += r.ended > 0, v.repeated += r.copies > 1;
-    const std::string what = id + " (handed in at " + at(r.handed_in) + ", answer " +
-                             std::to_string(r.status) + ", copies " + std::to_string(r.copies) +
-                             ", time up at " + at(r.deadline) + ")";
+    result.handed_in++;
+    result.accepted += r.accepted(),
+        result.delivered += r.accepted() && r.delivered > 0 && r.delivered <= r.deadline;
+    result.refused += r.status == 503 || r.status == 429;
+    result.unanswered += r.status == 0, result.ended += r.ended > 0, result.repeated += r.copies > 1;
+    const std::string label = id + " (submitted at " + at(r.handed_in) + ", answer " +
+                              std::to_string(r.status) + ", copies " + std::to_string(r.copies) +
+                              ", deadline " + at(r.deadline) + ")";
     if (r.accepted()) {
-      const Time over = r.delivered > 0 && r.noticed > 0 ? std::min(r.delivered, r.noticed)
-                                                         : std::max(r.delivered, r.noticed);
-      if (over == 0 ? now > due(r) : over > due(r))
-        v.broken.push_back("lost: " + what + (over == 0 ? ", no end" : ", its end came at " + at(over)));
+      const Time final_at = r.delivered > 0 && r.noticed > 0 ? std::min(r.delivered, r.noticed)
+                                                             : std::max(r.delivered, r.noticed);
+      if (final_at == 0 ? now > due(r) : final_at > due(r))
+        result.broken.push_back("lost: " + label +
+                                (final_at == 0 ? ", no final answer" : ", final answer at " + at(final_at)));
     }
-    check_calls(r, what, v);
-    check_answers(r, what, v);
+    check_calls(r, label, result);
+    check_answers(r, label, result);
   }
-  return v;
+  return result;
 }
 
 }  // namespace cedarplank::testing::faults
--- a/tests/faults/judge.hpp
+++ b/tests/faults/judge.hpp
@@ -1,4 +1,5 @@
-// What clients, endpoints and the platform saw of each request, and which rules that breaks.
+// Rule checker of the fault-injection tests: records what clients, endpoints and the platform observed of
+// each request, and finds the delivery rules that this breaks.
 #pragma once
 
 #include <algorithm>
@@ -12,18 +13,19 @@
 
 using loop::Time;
 
+// One arrival of a request at an endpoint.
 struct Call {
-  Time at = 0;  // its last byte arrived
+  Time at = 0;  // arrival of its last byte
   std::string endpoint;
-  bool ran = false;
+  bool ran = false;  // the endpoint executed it, or may have
 };
 
-// What a client of it, or of a copy under its id, heard.
+// The answer that a client received for a request, or for a copy sent under the same id.
 struct Answer {
   Time at = 0;
   int status = 0;
   bool accepts() const { return status / 100 == 2; }
-  // Handing it in again is harmless.
+  // The client may safely submit the request again.
   bool refuses() const { return status == 503 || status == 429; }
 };
 
@@ -32,45 +34,48 @@
   bool repeatable = true;
   int relay = 0, destination = 0;
   Time handed_in = 0, deadline = 0;
-  int status = 0;               // of its first answer; 0: none came
-  std::vector<Answer> answers;  // to every copy, in their order
-  int copies = 0;               // sent
-  bool abandoned = false;       // its client gave up waiting, and no copy of it was answered
+  int status = 0;               // of its first answer; 0: no answer
+  std::vector<Answer> answers;  // to all copies, in order of arrival
+  int copies = 0;               // number of copies sent
+  bool abandoned = false;       // its client stopped waiting, and no copy was answered
   std::vector<Call> calls;
-  Time delivered = 0;           // 200 was written; 0: never
-  Time ended = 0;               // told as over without a delivery, first time
+  Time delivered = 0;           // an endpoint first wrote 200; 0: never
+  Time ended = 0;               // first answer or notice that it ended undelivered; 0: none
   std::string ended_by;         // "notice returned", "answer 503", ...
-  Time noticed = 0;             // the first notice of it came; 0: none did
-  bool noticed_failed = false;  // it said "failed", else "returned"
-  Time said_over = 0;           // an endpoint answered that nothing is to be sent for it any more, first time
+  Time noticed = 0;             // arrival of its first notice; 0: none
+  bool noticed_failed = false;  // that notice reported "failed", otherwise "returned"
+  Time said_over =
+      0;  // an endpoint first answered that nothing more is to be sent for it (410, 504); 0: none
   bool accepted() const {
     return std::any_of(answers.begin(), answers.end(), [](const Answer& a) { return a.accepts(); });
   }
 };
 
-// One process of a relay that was told to end or killed, and when its successor was ready.
+// A relay process was terminated or killed, and when the process started in its place was ready.
 struct Restart {
   int relay = 0;
   Time signalled = 0, ready = 0;  // 0: not yet
 };
 
-// An endpoint told a relay to wait.
+// An endpoint sent a relay a Retry-After.
 struct ToldWait {
   std::string endpoint;
   int relay = 0;
   Time told = 0, until = 0;
 };
 
-// A proxy held bytes for an endpoint: they left the relay at `from` and arrived at `until`.
+// Bytes for an endpoint were delayed on the way: they left the relay at `from` and arrived at `until`.
 struct Hold {
   std::string endpoint;
   Time from = 0, until = 0;
 };
 
+// Broken rules, and the number of requests with each outcome.
 struct Verdict {
-  std::vector<std::string> broken;
+  std::vector<std::string> broken;  // one text per violation
   std::size_t handed_in = 0, accepted = 0, refused = 0, unanswered = 0, delivered = 0, ended = 0;
-  std::size_t repeated = 0;  // requests of which more than one copy was sent
+  std::size_t repeated = 0;  // requests sent in more than one copy
+  // Share of the submitted requests that were delivered by their deadline.
   double share() const {
     return handed_in == 0 ? 0 : static_cast<double>(delivered) / static_cast<double>(handed_in);
   }
@@ -81,19 +86,22 @@
   std::map<std::string, Request> requests;
   std::vector<Restart> restarts;
   std::vector<ToldWait> waits;
-  std::vector<std::string> crashes;
-  Time lag = 0;  // longest time that the observer itself was held up
+  std::vector<std::string> crashes;  // violations that were found while the test ran
+  Time lag = 0;                      // longest delay of the test's own loop; added to every bound
   std::vector<Hold> holds;
-  Time began = 0;  // times are told from here
+  Time began = 0;  // times in texts count from here
 
+  // Checks all rules on what has been recorded so far.
   Verdict verdict(Time now) const;
 
  private:
+  // Latest time for the final answer of an accepted request.
   Time due(const Request& request) const;
-  // Whether this call may have left the relay before that moment.
+  // Whether the call may have left the relay before that moment and been in flight since.
   bool left_before(const Call& call, Time moment) const;
-  void check_calls(const Request& request, const std::string& what, Verdict& verdict) const;
-  void check_answers(const Request& request, const std::string& what, Verdict& verdict) const;
+  void check_calls(const Request& request, const std::string& label, Verdict& result) const;
+  void check_answers(const Request& request, const std::string& label, Verdict& result) const;
+  // The time since `began`, as a text.
   std::string at(Time moment) const { return std::to_string((moment - began) / 1000) + " ms"; }
 };
 
--- a/tests/faults/preload.cpp
+++ b/tests/faults/preload.cpp
@@ -1,6 +1,6 @@
-// A library that is loaded into a relay under test (LD_PRELOAD) and makes its system calls fail, fall short
-// or lie as the control file says. The lasting folder is told from all else by the calls: only the journal
-// uses pwrite, pread, openat and the like.
+// Fault-injection library, loaded into the relay under test with LD_PRELOAD. As the control file says, it
+// makes system calls fail, transfer fewer bytes or return a shifted clock. Calls on the journal folder are
+// recognized by their kind: only the journal uses pwrite, pread, openat and the like.
 #include <dirent.h>
 #include <dlfcn.h>
 #include <errno.h>
@@ -21,6 +21,7 @@
 
 using cedarplank::testing::faults::Control;
 
+// Null where no control file is set or it cannot be mapped.
 Control* control() {
   static Control* const mapped = [] {
     const char* file = std::getenv(cedarplank::testing::faults::kControlFile);
@@ -29,31 +30,33 @@
   return mapped;
 }
 
+// The next definition of the call: the C library's or a sanitizer's.
 template <typename Function>
 Function real(const char* name) {
   return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
 }
 
-// Whether the call is to fail; errno is set then.
-bool fails(std::atomic<int> Control::*what) {
+// Whether the call must fail; if so, sets errno.
+bool inject_failure(std::atomic<int> Control::*error_field) {
   if (control() == nullptr) return false;
-  const int error = (control()->*what).load(std::memory_order_relaxed);
+  const int error = (control()->*error_field).load(std::memory_order_relaxed);
   if (error == 0) return false;
   control()->hits++;
   errno = error;
   return true;
 }
 
-size_t bounded(size_t size) {
+// The size to pass on, limited by `short_io`.
+size_t limited_size(size_t size) {
   const int most = control() == nullptr ? 0 : control()->short_io.load(std::memory_order_relaxed);
   return most > 0 ? std::min(size, static_cast<size_t>(most)) : size;
 }
 
-bool receive_fails() {
+bool inject_receive_failure() {
   static std::atomic<int> reads{0};
   if (control() == nullptr || control()->receive_error.load() == 0) return false;
   if (++reads % std::max(1, control()->receive_error_each.load()) != 0) return false;
-  return fails(&Control::receive_error);
+  return inject_failure(&Control::receive_error);
 }
 
 }  // namespace
@@ -69,20 +72,20 @@
     }
     if (control()->write_error.load() != 0) {
       const auto part = static_cast<size_t>(control()->write_part.load());
-      // As the system does: what went through is told, and the rest fails the next time.
+      // As the kernel does: reports the bytes written, and the next write fails.
       if (part > 0 && part < size) {
         control()->write_part = 0;
         return next(fd, bytes, part, at);
       }
     }
   }
-  return fails(&Control::write_error) ? -1 : next(fd, bytes, size, at);
+  return inject_failure(&Control::write_error) ? -1 : next(fd, bytes, size, at);
 }
 ssize_t pwrite64(int fd, const void* bytes, size_t size, off_t at) { return pwrite(fd, bytes, size, at); }
 
 ssize_t pread(int fd, void* bytes, size_t size, off_t at) {
   static const auto next = real<ssize_t (*)(int, void*, size_t, off_t)>("pread");
-  return fails(&Control::read_error) ? -1 : next(fd, bytes, size, at);
+  return inject_failure(&Control::read_error) ? -1 : next(fd, bytes, size, at);
 }
 ssize_t pread64(int fd, void* bytes, size_t size, off_t at) { return pread(fd, bytes, size, at); }
 
@@ -92,7 +95,7 @@
   va_start(more, flags);
   const auto mode = static_cast<mode_t>(va_arg(more, int));
   va_end(more);
-  if ((flags & O_CREAT) != 0 && fails(&Control::create_error)) return -1;
+  if ((flags & O_CREAT) != 0 && inject_failure(&Control::create_error)) return -1;
   return next(folder, name, flags, mode);
 }
 int openat64(int folder, const char* name, int flags, ...) {
@@ -105,53 +108,53 @@
 
 int posix_fallocate(int fd, off_t at, off_t size) {
   static const auto next = real<int (*)(int, off_t, off_t)>("posix_fallocate");
-  return fails(&Control::allocate_error) ? errno : next(fd, at, size);
+  return inject_failure(&Control::allocate_error) ? errno : next(fd, at, size);
 }
 int posix_fallocate64(int fd, off_t at, off_t size) { return posix_fallocate(fd, at, size); }
 
 int renameat(int from_folder, const char* from, int to_folder, const char* to) {
   static const auto next = real<int (*)(int, const char*, int, const char*)>("renameat");
-  return fails(&Control::rename_error) ? -1 : next(from_folder, from, to_folder, to);
+  return inject_failure(&Control::rename_error) ? -1 : next(from_folder, from, to_folder, to);
 }
 
 int unlinkat(int folder, const char* name, int flags) {
   static const auto next = real<int (*)(int, const char*, int)>("unlinkat");
-  return fails(&Control::remove_error) ? -1 : next(folder, name, flags);
+  return inject_failure(&Control::remove_error) ? -1 : next(folder, name, flags);
 }
 
 struct dirent* readdir(DIR* folder) {
   static const auto next = real<struct dirent* (*)(DIR*)>("readdir");
-  return fails(&Control::read_error) ? nullptr : next(folder);
+  return inject_failure(&Control::read_error) ? nullptr : next(folder);
 }
 struct dirent64* readdir64(DIR* folder) {
   static const auto next = real<struct dirent64* (*)(DIR*)>("readdir64");
-  return fails(&Control::read_error) ? nullptr : next(folder);
+  return inject_failure(&Control::read_error) ? nullptr : next(folder);
 }
 
 int accept4(int fd, struct sockaddr* from, socklen_t* size, int flags) {
   static const auto next = real<int (*)(int, struct sockaddr*, socklen_t*, int)>("accept4");
-  return fails(&Control::accept_error) ? -1 : next(fd, from, size, flags);
+  return inject_failure(&Control::accept_error) ? -1 : next(fd, from, size, flags);
 }
 
 int socket(int domain, int type, int protocol) {
   static const auto next = real<int (*)(int, int, int)>("socket");
-  return fails(&Control::socket_error) ? -1 : next(domain, type, protocol);
+  return inject_failure(&Control::socket_error) ? -1 : next(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr* to, socklen_t size) {
   static const auto next = real<int (*)(int, const struct sockaddr*, socklen_t)>("connect");
-  return fails(&Control::connect_error) ? -1 : next(fd, to, size);
+  return inject_failure(&Control::connect_error) ? -1 : next(fd, to, size);
 }
 
 ssize_t recv(int fd, void* bytes, size_t size, int flags) {
   static const auto next = real<ssize_t (*)(int, void*, size_t, int)>("recv");
-  if ((flags & MSG_PEEK) == 0 && receive_fails()) return -1;
-  return next(fd, bytes, bounded(size), flags);
+  if ((flags & MSG_PEEK) == 0 && inject_receive_failure()) return -1;
+  return next(fd, bytes, limited_size(size), flags);
 }
 
 ssize_t send(int fd, const void* bytes, size_t size, int flags) {
   static const auto next = real<ssize_t (*)(int, const void*, size_t, int)>("send");
-  return next(fd, bytes, bounded(size), flags);
+  return next(fd, bytes, limited_size(size), flags);
 }
 
 int poll(struct pollfd* fds, nfds_t count, int timeout) {
--- a/tests/faults/proxy.cpp
+++ b/tests/faults/proxy.cpp
@@ -28,7 +28,7 @@
                                     p->held += bytes;
                                 },
                             .drained = {},
-                            // What was held still arrives, as it would from a queue in the system.
+                            // Buffered bytes are still delivered, as they would be from a kernel queue.
                             .closed =
                                 [this, weak, number](const std::string&) {
                                   const auto p = weak.lock();
--- a/tests/faults/proxy.hpp
+++ b/tests/faults/proxy.hpp
@@ -1,5 +1,6 @@
-// A TCP proxy on loopback that holds what passes: new connections reach the target late, and bytes may wait.
-// The side that connects sees an open connection at once, as with a proxy or a full accept queue.
+// A TCP proxy on loopback that delays new connections: it opens the connection to the target late and buffers
+// bytes until then. The connecting side sees an open connection at once, as with a real proxy or a full
+// accept queue.
 #pragma once
 
 #include <functional>
@@ -13,15 +14,16 @@
 
 class Proxy {
  public:
-  // `delay` gives how long a new connection is held before its bytes pass, in us.
+  // `delay` is called for each new connection and returns how long to wait before connecting to the target,
+  // us.
   Proxy(loop::Loop& loop, std::string target, std::function<loop::Time()> delay);
   std::string address() const { return listener_.address().text(); }
 
  private:
   struct Pair {
-    std::unique_ptr<net::TcpStream> near, far;
-    std::string held;  // until the far side is connected
-    bool ended = false;
+    std::unique_ptr<net::TcpStream> near, far;  // towards the client and the target
+    std::string held;                           // bytes from the near side until the far side is opened
+    bool ended = false;                         // the near side has closed
   };
   void accepted(net::Fd fd);
   void connect(int number);
--- a/tests/http1_server.hpp
+++ b/tests/http1_server.hpp
@@ -1,4 +1,4 @@
-// An HTTP/1.1 server of the tests' own on loopback, in the loop of whoever runs it.
+// HTTP/1.1 test server on loopback. Runs in the caller's event loop.
 #pragma once
 
 #include <sys/socket.h>
@@ -13,7 +13,8 @@
 
 namespace cedarplank::platform::testing {
 
-// Reads requests on every connection and answers with the bytes that `on` gives.
+// Reads requests on every connection and answers each with the bytes that `on` returns; none: write() sends
+// the answer later.
 class Server {
  public:
   struct Reply {
@@ -24,9 +25,12 @@
   Server(loop::Loop& loop, On on) : loop_(loop), on_(std::move(on)) { listen("127.0.0.1:0"); }
   std::string address() const { return address_; }
   bool up() const { return listener_ != nullptr; }
+  // Stops listening and closes all connections.
   void down() { listener_.reset(), links_.clear(); }
+  // Listens on the same address again.
   void again() { listen(address_); }
-  // New connections stay halfway from here on: the one place in the queue is taken, and nobody is let in.
+  // From now on new connections are not established: the only slot of the accept queue is taken, and nothing
+  // is accepted.
   void shut_out() {
     listener_.reset();
     listen(address_, 0);
@@ -34,15 +38,16 @@
     filler_ = std::make_unique<net::TcpStream>(loop_, net::Address::parse(address_), 60'000'000,
                                                net::Stream::Handlers{});
   }
-  // The next try of each, a second after its first, comes through.
+  // Accepts again: each client's next SYN, one second after its first, succeeds.
   void let_in() { listener_->pause(false); }
   void write(int connection, const std::string& bytes) { links_.at(connection)->stream->write(bytes); }
-  // Accepts connections and reads nothing; what it has not read waits in small buffers.
+  // Whether to stop reading: connections are accepted, and unread bytes stay in small receive buffers.
   void deafen(bool deaf) {
     deaf_ = deaf;
     if (deaf) listener_.reset(), listen(address_);
     for (auto& [n, link] : links_) link->stream->pause_reading(deaf);
   }
+  // Whether the connection is open.
   bool has(int connection) const { return links_.count(connection) > 0; }
   void reset(int connection) {
     if (!has(connection)) return;
@@ -50,16 +55,16 @@
     drop(connection);
   }
   std::size_t connections() const { return links_.size(); }
-  int opened = 0;
-  // Asked at the first bytes of each request, by connection and requests before it: true resets the
-  // connection.
+  int opened = 0;  // connections accepted so far; the number of the last one
+  // Called at the first bytes of each request with the connection and the number of requests before it on
+  // that connection; true resets the connection.
   std::function<bool(int, int)> resets;
 
  private:
   struct Link {
     std::unique_ptr<net::TcpStream> stream;
     http1::Reader reader{http1::Reader::Side::requests};
-    int requests = 0;
+    int requests = 0;  // begun, counted where `resets` is set
   };
   void listen(const std::string& at, int backlog = 512) {
     listener_ = std::make_unique<net::Listener>(
@@ -107,12 +112,12 @@
     links_.erase(it);
   }
   loop::Loop& loop_;
-  static constexpr int kSmall = 4096;  // bytes
+  static constexpr int kSmall = 4096;  // receive buffer while not reading, bytes
   bool deaf_ = false;
   On on_;
   std::string address_;
   std::unique_ptr<net::Listener> listener_;
-  std::unique_ptr<net::TcpStream> filler_;
+  std::unique_ptr<net::TcpStream> filler_;  // takes the slot of the accept queue
   std::map<int, std::shared_ptr<Link>> links_;
 };
 
--- a/tests/platform_world.hpp
+++ b/tests/platform_world.hpp
@@ -1,5 +1,5 @@
-// A platform of our own on loopback, for tests: discovery, endpoints and clients, in the relay's own loop. No
-// sleeps: the loop turns until what is waited for has come.
+// Test fixture: a simulated platform on loopback (discovery, endpoints, clients) in the relay's own event
+// loop. Tests do not sleep: they run the loop until the expected condition holds.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -21,11 +21,13 @@
 
 namespace cedarplank::platform::testing {
 
+// A request that an endpoint received.
 struct Call {
   std::string endpoint, path, id, body, budget;
   int connection;
 };
 
+// The "settings" object of the relay's configuration.
 inline std::string settings_json(
     const std::string& family_extra = R"("BundleMax":[20,1],"RoutesApart":[true,false])") {
   return R"({"Classes":[{"Name":"status","Points":1,"LateWorth":0,"Target":1000000,"Deadline":6000000,)"
@@ -40,6 +42,7 @@
          R"("Discovery":"subscribe","Tick":5000,"GroupSize":1,"Rank":0,"Locality":"east"})";
 }
 
+// The platform around one relay, and what it has observed.
 class World {
  public:
   World() {
@@ -53,7 +56,7 @@
     std::filesystem::remove_all(state);
   }
 
-  // An endpoint that answers 200 unless `answers` says otherwise.
+  // Adds an endpoint; it answers 200 unless `answers` has a function for it.
   void add(const std::string& name, int group, const std::string& type = "small") {
     endpoints[name] = {group, type, "ready",
                        std::make_unique<Server>(loop, [this, name](const http1::Message& m, int n) {
@@ -67,12 +70,14 @@
                          return Server::Reply{ok(calls.back())};
                        })};
   }
+  // The answer that reports success for all messages of the call.
   static std::string ok(const Call& call) {
     if (call.path == "/inbox") return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     std::string body;
     for (const auto& id : ids_of(call)) body += id + " ok\r\n";
     return http1::response(200, {}, body, false);
   }
+  // The message ids in the body of a bulk call.
   static std::vector<std::string> ids_of(const Call& call) {
     std::vector<std::string> ids;
     for (std::size_t at = 0; at < call.body.size();) {
@@ -83,6 +88,7 @@
     }
     return ids;
   }
+  // Discovery's list of endpoints: as a snapshot, or as changes.
   std::string list(bool whole) const {
     std::string text = R"({"index":)" + std::to_string(index) + R"(,"snapshot":)" +
                        (whole ? "true" : "false") + R"(,"endpoints":[)";
@@ -96,6 +102,7 @@
     }
     return text + "]}";
   }
+  // Changes an endpoint's status and answers the open watches.
   void change(const std::string& name, const std::string& status) {
     endpoints.at(name).status = status;
     index++;
@@ -103,6 +110,7 @@
       where->write(connection, http1::response(200, {}, list(false), false));
   }
 
+  // The relay's configuration, with or without a list of known endpoints.
   std::string config(bool known = true) const {
     return R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + discoveries[discovery]->address() +
            R"(","state":")" + state + R"(","seed":"8c1f30d27a5be964","limits":{"sockets":128,"disk_mb":)" +
@@ -115,32 +123,36 @@
                                       log.push_back(std::string(event) + ": " + text);
                                     });
   }
-  // As SIGKILL: nothing is written any more, nothing is said.
+  // As by SIGKILL: the relay writes and sends nothing more.
   void kill() {
     relay.reset();
     loop.run_once(0);
   }
-  bool until(const std::function<bool()>& what, Time within = 8'000'000) {
+  // Runs the loop until the condition holds. Returns false where it did not in time.
+  bool until(const std::function<bool()>& condition, Time within = 8'000'000) {
     const Time end = loop::monotonic_now() + within;
-    while (!what()) {
+    while (!condition()) {
       if (loop::monotonic_now() > end) return false;
       loop.run_once(5'000);
     }
     return true;
   }
+  // How often the message was sent to endpoints.
   std::size_t called(const std::string& id) const {
     std::size_t n = 0;
     for (const auto& c : calls) {
       n += c.path == "/inbox" && c.id == id;
       if (c.path != "/inbox")
-        for (const auto& i : ids_of(c)) n += i == id;
+        for (const auto& bundled : ids_of(c)) n += bundled == id;
     }
     return n;
   }
+  // Whether a post of notices contains the text.
   bool noticed(const std::string& text) const {
     return std::any_of(notices.begin(), notices.end(),
                        [&](const std::string& n) { return n.find(text) != std::string::npos; });
   }
+  // Whether a log line contains the text.
   bool logged(const std::string& text) const {
     return std::any_of(log.begin(), log.end(),
                        [&](const std::string& n) { return n.find(text) != std::string::npos; });
@@ -154,23 +166,23 @@
   loop::Loop loop;
   std::string state, disk_mb = "3", settings = settings_json();
   int index = 1;
-  std::size_t discovery = 0;  // that the configuration names
+  std::size_t discovery = 0;  // index of the discovery that config() names
   std::vector<std::unique_ptr<Server>> discoveries;
   std::map<std::string, Listed> endpoints;
-  std::map<std::string, std::function<Server::Reply(const Call&)>> answers;
+  std::map<std::string, std::function<Server::Reply(const Call&)>> answers;  // by endpoint
   std::vector<Call> calls;
   std::vector<std::string> notices, log;
-  std::vector<std::pair<Server*, int>> watches;  // that wait
-  int outcome_status = 204, asked = 0, posts = 0;
-  int mute_posts = 0;  // so many posts of notices get no answer
-  // What discovery says to a call for the list; nothing: what it says otherwise.
+  std::vector<std::pair<Server*, int>> watches;    // open, with their connections
+  int outcome_status = 204, asked = 0, posts = 0;  // answer to notices; requests for lists; posts of notices
+  int mute_posts = 0;                              // so many of the next posts of notices get no answer
+  // Overrides discovery's answer to a request for the list where it returns one.
   std::function<std::optional<Server::Reply>(const http1::Message&)> says;
   std::unique_ptr<Relay> relay;
 
  private:
   std::unique_ptr<Server> make_discovery() {
-    const std::size_t place = discoveries.size();
-    return std::make_unique<Server>(loop, [this, place](const http1::Message& m, int n) -> Server::Reply {
+    const std::size_t position = discoveries.size();
+    return std::make_unique<Server>(loop, [this, position](const http1::Message& m, int n) -> Server::Reply {
       if (m.target == "/v1/outcomes") {
         posts++;
         if (mute_posts > 0) return mute_posts--, Server::Reply{};
@@ -182,23 +194,23 @@
         if (const auto reply = says(m)) return *reply;
       if (m.target == "/catalog/members") return {http1::response(200, {}, list(true), false)};
       const auto after = std::stoi(m.target.substr(m.target.find("after=") + 6));
-      const bool now = m.target.find("wait_ms=0") != std::string::npos;
+      const bool no_wait = m.target.find("wait_ms=0") != std::string::npos;
       if (after < index) return {http1::response(200, {}, list(false), false)};
-      if (now)
+      if (no_wait)
         return {http1::response(
             200, {}, R"({"index":)" + std::to_string(index) + R"(,"snapshot":false,"endpoints":[]})", false)};
-      watches.emplace_back(discoveries[place].get(), n);
+      watches.emplace_back(discoveries[position].get(), n);
       return {};
     });
   }
 };
 
-// A client's connection: what is written on it, and the answers.
+// A client's connection to the relay: writes requests and collects the answers.
 class Client {
  public:
   explicit Client(World& world) : Client(world, world.relay->address()) {}
-  // `stays`: it does not close when the other side sends nothing more.
-  Client(World& world, const net::Address& to, bool stays = false) : world_(world) {
+  // `half_open`: it stays open when the other side has shut down its sending.
+  Client(World& world, const net::Address& to, bool half_open = false) : world_(world) {
     stream_ = std::make_unique<net::TcpStream>(
         world.loop, to, 1'000'000,
         net::Stream::Handlers{
@@ -217,9 +229,9 @@
                 [this](const std::string& why) {
                   closed = true, reset = why.find("reset") != std::string::npos;
                 },
-            .ended = stays ? std::function<void()>([this] { ended = true; }) : std::function<void()>()});
+            .ended = half_open ? std::function<void()>([this] { ended = true; }) : std::function<void()>()});
   }
-  // Sends nothing more, and still reads.
+  // Shuts down sending; reading goes on.
   void end_sending() { shutdown(stream_->descriptor(), SHUT_WR); }
   void write(const std::string& bytes) { stream_->write(bytes); }
   void hand_in(const std::string& id, const std::string& cls = "status", int dest = 7,
@@ -236,7 +248,7 @@
                           body);
   }
   void close() { stream_->close(); }
-  // The status of the next answer; 0: closed without one, -1: nothing came.
+  // Waits for the next answer and returns its status; 0: closed without one, -1: timed out.
   int status() {
     const bool came = world_.until([&] { return answers.size() > read_ || closed || ended; });
     if (answers.size() > read_) return answers[read_++].status;
@@ -244,7 +256,7 @@
   }
   std::vector<http1::Message> answers;
   bool closed = false, reset = false;
-  bool ended = false;  // the relay sends nothing more
+  bool ended = false;  // the relay has shut down its sending
 
  private:
   World& world_;
