--- a/tests/faults/fleet.cpp
+++ b/tests/faults/fleet.cpp
@@ -316,9 +316,9 @@
       settings_.endpoints_know_ends && it != judge.requests.end() &&
       (it->second.ended > 0 || it->second.abandoned))
     planned = {Reply::What::over};
-  using What = Reply::What;
-  const bool ran = planned.what != What::refuse && planned.what != What::told_wait &&
-                   planned.what != What::over && planned.what != What::exhausted;
+  using Kind = Reply::What;
+  const bool ran = planned.what != Kind::refuse && planned.what != Kind::told_wait &&
+                   planned.what != Kind::over && planned.what != Kind::exhausted;
   if (m.target == "/inbox" && m.body != settings_.body)
     judge.crashes.push_back("another request's body was sent under the id " + ids.front());
   for (const auto& id : ids)
@@ -457,11 +457,11 @@
   if (request.relay == relay && !refused) repeat(id);
 }
 
-void Fleet::misuse_the_id_of(const std::string& id, std::function<void(int)> answered) {
+void Fleet::misuse_the_id_of(const std::string& id, std::function<void(int)> on_status) {
   const Request& request = judge.requests.at(id);
-  if (!request.accepted() || !running(request.relay)) return answered(0);
+  if (!request.accepted() || !running(request.relay)) return on_status(0);
   const auto link = connect(request.relay);
-  link->done = std::move(answered), link->once = true;
+  link->done = std::move(on_status), link->once = true;
   link->stream->write(http1::request("POST", request.repeatable ? "/status" : "/order", "backend.local",
                                      {{"X-Call-Id", id},
                                       {"X-Caller", "acme"},
@@ -477,7 +477,9 @@
   if (judge.requests.at(id).relay == relay) misuse_the_id_of(id);
 }
 
-void Fleet::deafen(const std::string& endpoint, bool deaf) { endpoints_.at(endpoint).server->deafen(deaf); }
+void Fleet::deafen(const std::string& endpoint, bool paused) {
+  endpoints_.at(endpoint).server->deafen(paused);
+}
 
 void Fleet::answered(int relay, const ClientLinkPtr& link) {
   const int status = link->reader.message().status;
--- a/tests/faults/fleet.hpp
+++ b/tests/faults/fleet.hpp
@@ -1,6 +1,6 @@
 // Test fixture for fault injection: runs relays as real processes on loopback with the fault library loaded,
 // between simulated clients, endpoints and a platform (discovery and notices). Everything but the relays runs
-// in one event loop; the rule checker (judge.hpp) records what is observed.
+// in one event loop; the rule checker records what is observed.
 #pragma once
 
 #include <functional>
@@ -34,11 +34,12 @@
   bool endpoints_know_ends = false;
 };
 
-// How an endpoint responds to a call. `over` is 410, `exhausted` 504.
+// How an endpoint responds to a call: 410 says that the message has ended, 504 that its attempts are
+// exhausted.
 struct Reply {
   enum class What { ok, refuse, told_wait, error, hang, reset, over, exhausted } what = What::ok;
   Time after = 5'000;
-  Time wait = 0;  // Retry-After, for What::told_wait
+  Time wait = 0;  // Retry-After, for told_wait
 };
 
 // Relays, clients, endpoints and platform of one test.
@@ -80,7 +81,7 @@
   void traffic(double per_second, double unsafe_share = 0.5);
   // Opens connections that stay open; every other one sends a single health request, the rest send nothing.
   void crowd(int relay, int connections);
-  // Sends another copy of a random request that has its final answer.
+  // Sends another copy of a random request that has its final answer, if it was sent to this relay.
   void repeat_an_ended_id(int relay);
   // Sends another copy of a request, whatever its state, on a new connection.
   void repeat(const std::string& id);
@@ -88,10 +89,10 @@
   // Sends a request with another body under the id of an accepted one. The answer to it is not checked
   // against the accepted request.
   void misuse_the_id_of(
-      const std::string& id, std::function<void(int)> answered = [](int) {});
+      const std::string& id, std::function<void(int)> on_status = [](int) {});
   void misuse_a_recent_id(int relay);
   // Whether the endpoint stops reading; it still accepts connections.
-  void deafen(const std::string& endpoint, bool deaf);
+  void deafen(const std::string& endpoint, bool paused);
   std::string end_of(const std::string& id) const;  // "delivered", "notice returned", ...; empty: none yet
   const std::vector<std::string>& log(int relay) const {
     return relays_.at(static_cast<std::size_t>(relay)).log;
@@ -109,8 +110,8 @@
     loop::TimerId timer = 0;
     int requests = 0;
     bool once = false;  // closed after its answer
-    std::function<void(int)>
-        done;  // for requests that the checker does not track: gets the status, 0 where the connection closed
+    // For requests that the checker does not track: gets the status, 0 where the connection closed.
+    std::function<void(int)> done;
   };
   using ClientLinkPtr = std::shared_ptr<ClientLink>;
   struct Relay {
@@ -119,7 +120,7 @@
     std::unique_ptr<rig::Process> process;
     bool ended_by_us = true, ready = false, start_when_gone = false;
     int launches = 0;
-    std::size_t restart = 0;  // index in judge.restarts plus one; 0: none
+    std::size_t restart = 0;  // index in the checker's restarts plus one; 0: none
     std::vector<std::string> log;
     std::vector<ClientLinkPtr> idle, crowd;
     std::map<ClientLink*, ClientLinkPtr> busy;
--- a/tests/faults/judge.hpp
+++ b/tests/faults/judge.hpp
@@ -44,8 +44,7 @@
   std::string ended_by;         // "notice returned", "answer 503", ...
   Time noticed = 0;             // arrival of its first notice; 0: none
   bool noticed_failed = false;  // that notice reported "failed", otherwise "returned"
-  Time said_over =
-      0;  // an endpoint first answered that nothing more is to be sent for it (410, 504); 0: none
+  Time said_over = 0;           // an endpoint first answered 410 or 504: send nothing more for it; 0: none
   bool accepted() const {
     return std::any_of(answers.begin(), answers.end(), [](const Answer& a) { return a.accepts(); });
   }
@@ -101,7 +100,7 @@
   bool left_before(const Call& call, Time moment) const;
   void check_calls(const Request& request, const std::string& label, Verdict& result) const;
   void check_answers(const Request& request, const std::string& label, Verdict& result) const;
-  // The time since `began`, as a text.
+  // The time since the start of the test, as a text.
   std::string at(Time moment) const { return std::to_string((moment - began) / 1000) + " ms"; }
 };
 
--- a/tests/http1_server.hpp
+++ b/tests/http1_server.hpp
@@ -13,8 +13,8 @@
 
 namespace cedarplank::platform::testing {
 
-// Reads requests on every connection and answers each with the bytes that `on` returns; none: write() sends
-// the answer later.
+// Reads requests on every connection and answers each with the bytes that the handler returns; where it
+// returns none, write() sends the answer later.
 class Server {
  public:
   struct Reply {
@@ -22,7 +22,7 @@
     enum class Then { keep, close, abort } then = Then::keep;
   };
   using On = std::function<Reply(const http1::Message&, int connection)>;
-  Server(loop::Loop& loop, On on) : loop_(loop), on_(std::move(on)) { listen("127.0.0.1:0"); }
+  Server(loop::Loop& loop, On handler) : loop_(loop), on_(std::move(handler)) { listen("127.0.0.1:0"); }
   std::string address() const { return address_; }
   bool up() const { return listener_ != nullptr; }
   // Stops listening and closes all connections.
@@ -42,10 +42,10 @@
   void let_in() { listener_->pause(false); }
   void write(int connection, const std::string& bytes) { links_.at(connection)->stream->write(bytes); }
   // Whether to stop reading: connections are accepted, and unread bytes stay in small receive buffers.
-  void deafen(bool deaf) {
-    deaf_ = deaf;
-    if (deaf) listener_.reset(), listen(address_);
-    for (auto& [n, link] : links_) link->stream->pause_reading(deaf);
+  void deafen(bool paused) {
+    deaf_ = paused;
+    if (paused) listener_.reset(), listen(address_);
+    for (auto& [n, link] : links_) link->stream->pause_reading(paused);
   }
   // Whether the connection is open.
   bool has(int connection) const { return links_.count(connection) > 0; }
@@ -64,7 +64,7 @@
   struct Link {
     std::unique_ptr<net::TcpStream> stream;
     http1::Reader reader{http1::Reader::Side::requests};
-    int requests = 0;  // begun, counted where `resets` is set
+    int requests = 0;  // begun, counted only where the test may reset requests
   };
   void listen(const std::string& at, int backlog = 512) {
     listener_ = std::make_unique<net::Listener>(
--- a/tests/platform_crossings_test.cpp
+++ b/tests/platform_crossings_test.cpp
@@ -207,8 +207,7 @@
   EXPECT_EQ(c.status(), 202);
   add("s-2", 7);
   change("s-1", "draining");
-  ASSERT_TRUE(
-      until([&] { return watches.size() == 1; }));  // the change was delivered, and a new watch is open
+  ASSERT_TRUE(until([&] { return watches.size() == 1; }));  // change delivered, new watch open
   endpoints.at("s-1").server->let_in();
   ASSERT_TRUE(until([&] { return called("m-1") == 1; }));
   EXPECT_EQ(calls[0].endpoint, "s-2");
@@ -413,7 +412,8 @@
   EXPECT_TRUE(calls.empty());
 }
 
-// A client's idempotency key is sent with every attempt of its message.
+// A client's idempotency key is sent with every attempt of its message, in single calls and in a bundle's
+// lines.
 TEST_F(Crossings, AClientsIdempotencyKeyReachesTheEndpoint) {
   add("s-1", 7);
   std::vector<std::string> keys;
--- a/tests/platform_journal_test.cpp
+++ b/tests/platform_journal_test.cpp
@@ -78,14 +78,15 @@
 }
 
 // What was acknowledged or sent must be in the journal; what was answered must not be held.
-void expect_consistent(const Journal& journal, const RecordingHost& host, const std::string& what) {
+void expect_consistent(const Journal& journal, const RecordingHost& host, const std::string& context) {
   const auto& held = journal.image().held();
   for (const auto id : host.acknowledged)
-    EXPECT_TRUE(held.count(id) > 0 || journal.image().answers().count(id) > 0) << what << ": lost " << id;
-  for (const auto id : host.answered) EXPECT_EQ(held.count(id), 0u) << what << ": answered and held " << id;
+    EXPECT_TRUE(held.count(id) > 0 || journal.image().answers().count(id) > 0) << context << ": lost " << id;
+  for (const auto id : host.answered)
+    EXPECT_EQ(held.count(id), 0u) << context << ": answered and held " << id;
   for (const auto id : host.sent)
     EXPECT_TRUE(held.count(id) == 0 || !held.at(id).now.out.empty())
-        << what << ": sent without a record " << id;
+        << context << ": sent without a record " << id;
 }
 
 class PlatformJournal : public ::testing::TestWithParam<int> {};
--- a/tests/platform_repeats_test.cpp
+++ b/tests/platform_repeats_test.cpp
@@ -1,13 +1,13 @@
-// Tests that the relay sends nothing for a request that it has answered as ended.
+// Tests that the relay sends nothing for a request after it has ended that request.
 //
-// The failure: with connections that break and a restart or two, endpoints answered 410 (message ended) for
-// messages that the relay still held and kept trying. A client whose connection closes without an answer
-// sends its request once more under the same id; hedging clients do so too, and some clients use an id that
-// is not theirs. The relay had read the first copy and answered the second with 409, by which the client
-// takes its request as failed; then it sent the first copy. The state of an id was kept in several places,
-// and each party was answered from another one: a held id was "in use", an ended one was "ended" whatever its
-// final answer, and an endpoint's 410 was treated as a refusal. Every copy of a held request was answered
-// 409, and 6 to 10 of 10 were then sent.
+// The failure: after seconds of traffic over breaking connections, with a kill or two, endpoints answered 410
+// (message ended) for messages that the relay still held and kept trying. A client whose connection closes
+// without an answer sends its request once more under the same id; hedging clients do so too, and some
+// clients use an id that is not theirs. The relay had read the first copy and answered the second with 409,
+// by which the client takes its request as failed; then it sent the first copy. The state of an id was kept
+// in several places, and each party was answered from another one: a held id was "in use", an ended one was
+// "ended" whatever its final answer, and an endpoint's 410 was treated as a refusal. Every copy of a held
+// request was answered 409, and 6 to 10 of 10 were then sent.
 #include <gtest/gtest.h>
 #include <rapidjson/document.h>
 
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -556,9 +556,8 @@
   EXPECT_EQ(c.status(), 202);
   c.hand_in("order-late", "order", 7, "0.3");
   EXPECT_EQ(c.status(), 202);
-  EXPECT_TRUE(until([&] {
-    return logged("outcomes: answered 503");
-  }));  // order-late has ended, its notice is not delivered
+  // order-late has ended, and its notice is not delivered.
+  EXPECT_TRUE(until([&] { return logged("outcomes: answered 503"); }));
   kill();
   EXPECT_FALSE(noticed("order-late"));
   endpoints.at("s-1").status = "ready", index++;
--- a/tests/platform_world.hpp
+++ b/tests/platform_world.hpp
@@ -56,7 +56,7 @@
     std::filesystem::remove_all(state);
   }
 
-  // Adds an endpoint; it answers 200 unless `answers` has a function for it.
+  // Adds an endpoint; it answers 200 unless the test sets a function for its answers.
   void add(const std::string& name, int group, const std::string& type = "small") {
     endpoints[name] = {group, type, "ready",
                        std::make_unique<Server>(loop, [this, name](const http1::Message& m, int n) {
@@ -166,7 +166,7 @@
   loop::Loop loop;
   std::string state, disk_mb = "3", settings = settings_json();
   int index = 1;
-  std::size_t discovery = 0;  // index of the discovery that config() names
+  std::size_t discovery = 0;  // index of the one that the configuration names
   std::vector<std::unique_ptr<Server>> discoveries;
   std::map<std::string, Listed> endpoints;
   std::map<std::string, std::function<Server::Reply(const Call&)>> answers;  // by endpoint
@@ -208,11 +208,11 @@
 // A client's connection to the relay: writes requests and collects the answers.
 class Client {
  public:
-  explicit Client(World& world) : Client(world, world.relay->address()) {}
+  explicit Client(World& fixture) : Client(fixture, fixture.relay->address()) {}
   // `half_open`: it stays open when the other side has shut down its sending.
-  Client(World& world, const net::Address& to, bool half_open = false) : world_(world) {
+  Client(World& fixture, const net::Address& to, bool half_open = false) : world_(fixture) {
     stream_ = std::make_unique<net::TcpStream>(
-        world.loop, to, 1'000'000,
+        fixture.loop, to, 1'000'000,
         net::Stream::Handlers{
             .connected = {},
             .data =
