--- a/src/platform/relay.cpp
+++ b/src/platform/relay.cpp
@@ -10,37 +10,39 @@
 namespace cedarplank::platform {
 namespace {
 
-// From SIGTERM; a kill comes no sooner than after 3.7 s. Clients that have connections go on using them while
-// those stay open, so taking goes on too: turned away, all of them would fall upon the other relays at once,
-// for as long as this one is away.
-constexpr Time kTakeUntil = 2'300'000;
-constexpr Time kLastRound = 2'900'000;  // no send after it: its outcome would hardly be heard
+// Times of the shutdown, from SIGTERM; the process is killed no sooner than 3.7 s after it. Clients go on
+// using their open connections, so the relay goes on accepting for a while: if it refused at once, all its
+// clients would move to the other relays at the same time and stay there until it is back.
+constexpr Time kAcceptFor = 2'300'000;
+constexpr Time kLastRoundAfter = 2'900'000;  // no attempt is sent later: its outcome would come too late
 constexpr Time kStopWithin = 3'500'000;
-constexpr Time kEndsEvery = 20'000;    // after the last round
-constexpr std::size_t kReserved = 24;  // descriptors: standard ones, pipe, listeners, discovery, journal
-constexpr std::size_t kMostDestinations = 65'536;
-constexpr std::size_t kMostIdLogged = 64;  // bytes of a client's id in a line of the log
-constexpr const char* kRefused = "refused; handing it in again is harmless\n";
-constexpr const char* kFailed = "failed\n";
-
-// When its client may come again, where a time is known.
-std::vector<http1::Field> come_back_field(Time come_back) {
+constexpr Time kOverdueCheckInterval = 20'000;  // between checks for overdue messages after the last round
+// Standard streams, pipe, listeners, discovery, journal.
+constexpr std::size_t kReservedDescriptors = 24;
+constexpr std::size_t kMaxDestinations = 65'536;
+constexpr std::size_t kMaxLoggedIdBytes = 64;  // bytes of a client's id in a log line
+constexpr const char* kRefusedText = "refused; handing it in again is harmless\n";
+constexpr const char* kFailedText = "failed\n";
+
+// The Retry-After field of a refusal; none where no time is known.
+std::vector<http1::Field> retry_after_field(Time come_back) {
   if (come_back <= 0) return {};
   return {{"Retry-After", http1::seconds_text(come_back)}};
 }
 
-// Descriptors are shared out: endpoints get what the slots may use and some idle ones, a third at most; the
-// platform's clients hold a third at most, and what is left is for clients that behave otherwise.
-std::size_t endpoint_share(const Limits& limits, int slots) {
+// How the file descriptors are divided. Endpoint connections get what the slots can use plus some idle ones,
+// at most a third. The platform's clients hold at most a third; the rest is left for clients that behave
+// differently.
+std::size_t max_endpoint_connections(const Limits& limits, int slots) {
   const auto wanted = static_cast<std::size_t>(slots) * 8 + 32;
   return std::max<std::size_t>(std::min(limits.sockets / 3, wanted), 8);
 }
-std::size_t client_share(const Limits& limits, int slots) {
-  const std::size_t taken = endpoint_share(limits, slots) + kReserved;
+std::size_t max_client_connections(const Limits& limits, int slots) {
+  const std::size_t taken = max_endpoint_connections(limits, slots) + kReservedDescriptors;
   return limits.sockets > taken + 8 ? limits.sockets - taken : 8;
 }
 
-std::vector<std::string> in_order(const settings::Names& names) {
+std::vector<std::string> names_by_index(const settings::Names& names) {
   std::vector<std::string> out(names.size());
   for (const auto& [name, place] : names) out[static_cast<std::size_t>(place)] = name;
   return out;
@@ -53,8 +55,8 @@
   const auto& set = config_.settings;
   endpoints_ = std::make_unique<Endpoints>(
       loop_,
-      Endpoints::Bounds{endpoint_share(config_.limits, set.slots), set.connect_timeout, set.connection_idle,
-                        set.second_copies},
+      Endpoints::Bounds{max_endpoint_connections(config_.limits, set.slots), set.connect_timeout,
+                        set.connection_idle, set.second_copies},
       Endpoints::Host{.ended =
                           [this](relay::CallId call, relay::Ending ending) {
                             core_->call_ended(loop_.refresh(), call, std::move(ending));
@@ -93,10 +95,10 @@
   Journal::Settings j;
   j.folder = config_.state, j.disk = config_.limits.disk;
   j.keeper.classes = set.classes;
-  class_names_ = in_order(config_.names.classes);
+  class_names_ = names_by_index(config_.names.classes);
   j.keeper.class_names = class_names_;
   j.keeper.ends_for = ends_kept(set);
-  j.keeper.tenant_names = in_order(config_.names.tenants);
+  j.keeper.tenant_names = names_by_index(config_.names.tenants);
   journal_ =
       std::make_unique<Journal>(loop_, std::move(j),
                                 Journal::Ends{*endpoints_, *this,
@@ -106,24 +108,24 @@
                                               },
                                               [this] { poke(); }},
                                 [this](const std::string& text) { log_.say(Event::journal, text); });
-  auto& keeper = journal_->keeper();
+  auto& coordinator = journal_->keeper();
   attempts_ =
-      std::make_unique<AttemptLog>(keeper, log_, [this](MessageId id) { return requests_.name_of(id); });
+      std::make_unique<AttemptLog>(coordinator, log_, [this](MessageId id) { return requests_.name_of(id); });
   core_ = std::make_unique<relay::Core>(
       set, relay::make_dispatcher(set, config_.seed),
-      relay::Core::Ports{*attempts_, keeper, *discovery_, *peers_, *this, nullptr, attempts_.get()});
+      relay::Core::Ports{*attempts_, coordinator, *discovery_, *peers_, *this, nullptr, attempts_.get()});
   if (config_.known) {
     discovery_->start_from(config_.known->index);
     list(*config_.known, true);
   } else {
-    // Nothing is known: an empty list as it was last seen, so that the module asks.
+    // No list is known: an empty cached list makes the dispatcher request one.
     core_->list_whole({}, true);
   }
   recover();
   retry_at_start(
       [&] {
         clients_ = std::make_unique<Clients>(
-            loop_, net::Address::parse(config_.listen), client_share(config_.limits, set.slots),
+            loop_, net::Address::parse(config_.listen), max_client_connections(config_.limits, set.slots),
             Clients::Host{.request = [this](Clients::Number n, http1::Message& r) { request(n, r); },
                           .gone = [this](Clients::Number n, Clients::Reads reads) { gone(n, reads); },
                           .log = [this](const std::string& text) { log_.say(Event::clients, text); }});
@@ -150,7 +152,7 @@
   endpoints_->learn(catalogue);
   std::vector<Endpoint> list;
   for (const auto& l : catalogue.endpoints) {
-    if (destinations_.size() < kMostDestinations) destinations_.insert(l.endpoint.destination);
+    if (destinations_.size() < kMaxDestinations) destinations_.insert(l.endpoint.destination);
     list.push_back(l.endpoint);
   }
   listed_ = listed_ || !destinations_.empty();
@@ -161,14 +163,14 @@
   poke();
 }
 
-// ---- clients ----
+// ---- Clients ----
 
 void Relay::request(Clients::Number client, http1::Message& request) {
   if (path_of(request.target) == "/_health") return health(client, request);
   HandedIn in;
   if (const auto unfit = read_request(request, config_.names, in)) {
     const auto* name = request.find("x-call-id");
-    const auto told = name == nullptr ? std::string("-") : name->substr(0, kMostIdLogged);
+    const auto told = name == nullptr ? std::string("-") : name->substr(0, kMaxLoggedIdBytes);
     return turn_away(client, told, unfit->status, unfit->why);
   }
   const auto fingerprint = fingerprint_of(in.message);
@@ -200,7 +202,7 @@
   poke();
 }
 
-// A copy hears what is true of its request, and nothing is done for it anew.
+// A copy of a known request gets that request's state as its answer; nothing new is started for it.
 void Relay::answer_known(Clients::Number client, const std::string& name,
                          const RequestRegistry::Known& known) {
   const std::string state = name_of(known.state);
@@ -224,10 +226,10 @@
       return clients_->answer(client, 200, {}, {});
     case RequestState::returned:
       note("503");
-      return clients_->answer(client, 503, come_back_field(known.come_back - loop_.now()), kRefused);
+      return clients_->answer(client, 503, retry_after_field(known.come_back - loop_.now()), kRefusedText);
     case RequestState::failed:
       note("500");
-      return clients_->answer(client, 500, {}, kFailed);
+      return clients_->answer(client, 500, {}, kFailedText);
   }
 }
 
@@ -243,8 +245,9 @@
                               class_names_[static_cast<std::size_t>(message.message_class)], message);
 }
 
-// The last client that waited for it left before it heard of it: withdrawn. One that still reads is answered
-// once that is on record, for else a start could send what was answered as over.
+// A message is cancelled when the last client that waited for its answer leaves. A client that still reads is
+// answered only once the cancellation is durable: otherwise the relay could restart and send a message that
+// was reported as ended.
 void Relay::gone(Clients::Number client, Clients::Reads reads) {
   const bool reading = reads == Clients::Reads::still;
   if (!requests_.waits(client)) {
@@ -258,7 +261,8 @@
   const bool unrun = fate == relay::Fate::refuse;
   log_.line(Event::withdrawn, left->name,
             [&] { return std::string(unrun ? "nothing has run" : "an attempt may have run"); });
-  // A copy of what was told as over, or may have run, is no new request.
+  // A message that was reported as ended, or that may have run, is remembered: a later copy of it is not a
+  // new request.
   if (!unrun || !left->reading.empty())
     requests_.remember(loop_.now(), left->name, left->fingerprint,
                        unrun ? RequestState::returned : RequestState::failed);
@@ -275,15 +279,15 @@
   }
 }
 
-// Taken on, once the module has had its say and the record of it outlives the process.
+// A message is accepted once the dispatcher has decided on it and its record would survive the process.
 void Relay::answer_taken() {
   auto waiting = std::move(waiting_);
   waiting_.clear();
   for (const auto& w : waiting) {
-    if (!requests_.is_waiting(w.id)) continue;  // answered or withdrawn meanwhile
+    if (!requests_.is_waiting(w.id)) continue;  // answered or cancelled meanwhile
     const bool undecided = w.round == core_->rounds() && !frozen_;
-    // While the folder can't be written, part of its record may be in it, so it can't be said that it was not
-    // taken on either: its client waits, and gives up by itself.
+    // While the journal can't be written, part of the record may be on disk, so the message can't be reported
+    // as not accepted either: its client waits until it gives up by itself.
     if (undecided || journal_->stalled()) {
       waiting_.push_back(w);
       continue;
@@ -315,7 +319,8 @@
   if (ended.name.empty()) return journal_->keeper().handed_over(id);  // its client left meanwhile
   log_end(ended, RequestState::returned, account);
   if (ended.waiting.empty()) return outcomes_->add(id, returned_notice(ended.name, come_back));
-  for (const auto client : ended.waiting) clients_->answer(client, 503, come_back_field(come_back), kRefused);
+  for (const auto client : ended.waiting)
+    clients_->answer(client, 503, retry_after_field(come_back), kRefusedText);
   journal_->keeper().handed_over(id);
 }
 
@@ -324,11 +329,11 @@
   if (ended.name.empty()) return journal_->keeper().handed_over(id);
   log_end(ended, RequestState::failed, account);
   if (ended.waiting.empty()) return outcomes_->add(id, failed_notice(ended.name));
-  for (const auto client : ended.waiting) clients_->answer(client, 500, {}, kFailed);
+  for (const auto client : ended.waiting) clients_->answer(client, 500, {}, kFailedText);
   journal_->keeper().handed_over(id);
 }
 
-// ---- turns ----
+// ---- Turns ----
 
 void Relay::poke() {
   if (poked_) return;
@@ -340,8 +345,8 @@
   });
 }
 
-// A round of the module if one is due; then what it wrote down is made to last, what waited for that goes,
-// and all that was ordered leaves: in this turn.
+// Runs a round of the dispatcher if one is due, commits its records to the journal, releases what waited for
+// them, and sends the ordered calls, all within this turn.
 void Relay::turn() {
   if (!frozen_)
     core_->turn(loop_.refresh());
@@ -361,9 +366,10 @@
       });
   }
   if (frozen_ && stopped_) {
-    // Guards against an answer that comes after its message's time, taken for its end: nobody counts it, and
-    // the next run would not know that a notice is owed.
-    timer_ = loop_.after(kEndsEvery, [this] {
+    // Ends messages at their deadline. Guards against an answer that comes after the message's deadline and
+    // is taken as its final answer: nobody counts it, and the next run would not know that a notice is still
+    // due.
+    timer_ = loop_.after(kOverdueCheckInterval, [this] {
       timer_ = 0;
       turn();
     });
@@ -382,14 +388,15 @@
 void Relay::stop(std::function<void()> stopped) {
   if (stopping_) return;
   stopping_ = true, stopped_ = std::move(stopped);
-  log_.say(Event::state, "stopping: takes on for " + std::to_string(kTakeUntil / 1000) + " ms more");
+  log_.say(Event::state, "stopping: accepts messages for " + std::to_string(kAcceptFor / 1000) + " ms more");
   clients_->keep_all();
-  stop_timers_.push_back(loop_.after(kTakeUntil, [this] {
-    log_.line(Event::state, [&] { return "takes on no more, held=" + std::to_string(core_->held()); });
+  stop_timers_.push_back(loop_.after(kAcceptFor, [this] {
+    log_.line(Event::state,
+              [&] { return "accepts no more messages, held=" + std::to_string(core_->held()); });
     core_->stop_taking();
     clients_->drain();
   }));
-  stop_timers_.push_back(loop_.after(kLastRound, [this] {
+  stop_timers_.push_back(loop_.after(kLastRoundAfter, [this] {
     log_.line(Event::state, [&] {
       return "last round, held=" + std::to_string(core_->held()) +
              " calls_out=" + std::to_string(endpoints_->calls_out());
@@ -407,7 +414,7 @@
   const bool nothing_out =
       endpoints_->calls_out() == 0 && outcomes_->empty() && waiting_.empty() && !journal_->stalled();
   if (!stopped_ || !nothing_out || (!frozen_ && core_->held() > 0)) return;
-  // Clients that still connect are answered until the end: see Clients::drain().
+  // Not before the last round: clients that still connect are answered until then.
   if (frozen_) std::exchange(stopped_, nullptr)();
 }
 
--- a/src/platform/relay.hpp
+++ b/src/platform/relay.hpp
@@ -1,5 +1,6 @@
-// One relay on the platform: its protocol's ways in and out around one core, with a journal between them. All
-// decisions on messages are the module's; this carries them out.
+// One relay on the platform: the platform's HTTP/1.1 protocol for clients, endpoints and discovery around one
+// relay::Core, with a write-ahead journal in between. The dispatcher module makes all decisions on messages;
+// this class carries them out.
 #pragma once
 
 #include <functional>
@@ -27,48 +28,67 @@
 class Relay final : relay::Answers, relay::Log {
  public:
   using LogSink = EventLog::Sink;
-  // Opens the journal, takes over what it holds, and listens. Throws naming the cause.
+  // Opens the journal, recovers what it holds, and starts to listen. Throws an exception that names the
+  // cause.
   Relay(loop::Loop& loop, Config config, LogSink log);
   ~Relay() override;
 
-  // Only the address of discovery may change in service.
+  // Applies a new configuration. Only the address of discovery can change while the relay runs.
   void reload(const Config& config);
-  // Not ready any more. Takes on for a while, then what is out gets its outcome. `stopped` is called once, in
-  // time for a kill after 3.7 s; what is held then stays in the journal.
+  // Starts the shutdown: the relay is no longer ready, accepts messages for a while longer, and then waits
+  // for the outcomes of attempts in flight. Calls `stopped` once, early enough for a process that is killed
+  // after 3.7 s; messages still held then stay in the journal.
   void stop(std::function<void()> stopped);
 
   bool ready() const { return listed_ && !stopping_; }
   net::Address address() const { return clients_->address(); }
   std::size_t held() const { return core_->held(); }
-  std::string counts() const;  // one line of JSON
+  std::string counts() const;  // the relay's counters, as one line of JSON
   const Journal& journal() const { return *journal_; }
 
  private:
-  struct Waiting {  // for the module's word, and for the record of it
+  // A new message that is not acknowledged yet: the dispatcher has to decide on it and its record has to be
+  // durable.
+  struct Waiting {
     MessageId id;
-    std::uint64_t round;
+    std::uint64_t round;  // the core's round count when the message came
   };
-  struct Withdrawn {  // a client that still reads, and what it may be told
+  // A client that cancelled its request but may still read an answer, and the answer that it may get.
+  struct Withdrawn {
     Clients::Number client;
     relay::Fate fate;
   };
   void request(Clients::Number client, http1::Message& request);
+  // Answers the platform's readiness check.
   void health(Clients::Number client, const http1::Message& request);
+  // Submits a new request to the core, or refuses it with 503.
   void take(Clients::Number client, HandedIn in, std::uint64_t fingerprint);
+  // Answers a request whose id is known already.
   void answer_known(Clients::Number client, const std::string& name, const RequestRegistry::Known& known);
+  // Rejects a request with `status` and the text `why`; logs and counts it.
   void turn_away(Clients::Number client, const std::string& name, int status, const char* why);
   std::uint64_t fingerprint_of(const relay::NewMessage& message) const;
+  // A client disconnected, or ended its sending, before its answer.
   void gone(Clients::Number client, Clients::Reads reads);
+  // Answers cancelled requests whose clients still read, once the journal is durable.
   void answer_withdrawn();
   void log_end(const RequestRegistry::Ended& ended, RequestState state, const relay::Account& account);
+  // Passes an endpoint list on to the connections and to the core; `cached`: it is from the configuration.
   void list(const Catalogue& catalogue, bool cached);
+  // Recovers the state of the last run from the journal.
   void recover();
+  // Recovers the final answers that copies of ended requests still get.
   void recover_ends(Time now);
+  // Schedules one turn for when the current event handlers have run.
   void poke();
   void turn();
+  // Acknowledges accepted messages to their clients with 202.
   void answer_taken();
+  // Calls the callback given to stop() once nothing is in flight.
   void check_stopped();
+  // What to add to a Unix time, in us, to get a time of the core's monotonic clock.
   Time unix_to_module() const;
+  // Records a message's final state in the registry and returns its name and waiting clients.
   RequestRegistry::Ended end(MessageId id, RequestState how, Time come_back = 0);
   // relay::Answers
   void served(MessageId id, const relay::Ending& ending) override;
@@ -89,18 +109,20 @@
   std::unique_ptr<relay::Core> core_;
   std::unique_ptr<Clients> clients_;
   RequestRegistry requests_;
-  std::vector<std::string> class_names_;  // by their place in the settings
+  std::vector<std::string> class_names_;  // by index in the settings
   std::vector<Waiting> waiting_;
-  std::vector<Withdrawn> withdrawn_;      // to be answered
-  std::set<DestinationId> destinations_;  // that any list has shown
+  std::vector<Withdrawn> withdrawn_;      // not answered yet
+  std::set<DestinationId> destinations_;  // all that have appeared in an endpoint list
   MessageId next_id_ = 1;
+  // In this order: an endpoint list has named at least one destination; a turn is scheduled; stop() was
+  // called; no more rounds of the dispatcher run before the process ends.
   bool listed_ = false, poked_ = false, stopping_ = false, frozen_ = false;
-  std::map<std::string, std::uint64_t> turned_away_;  // requests, by why: texts of the program's own
-  std::map<std::string, std::uint64_t> repeated_;     // requests under a known id, by what was known of it
+  std::map<std::string, std::uint64_t> turned_away_;  // rejected requests by reason, which is a fixed text
+  std::map<std::string, std::uint64_t> repeated_;     // requests under a known id, by that request's state
   std::function<void()> stopped_;
   loop::TimerId timer_ = 0;
   std::vector<loop::TimerId> stop_timers_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for what was deferred
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // guards deferred callbacks
 };
 
 }  // namespace cedarplank::platform
--- a/src/platform/relay_counts.cpp
+++ b/src/platform/relay_counts.cpp
@@ -1,4 +1,4 @@
-// The relay's figures, as one line of JSON: see docs/operate/platform.md.
+// The relay's counters as one line of JSON: see docs/operate/platform.md.
 #include <iterator>
 
 #include "platform/relay.hpp"
@@ -24,7 +24,7 @@
       pair("journal_bytes", journal_->bytes()) + pair("journal_stalls", journal_->counts().stalls) +
       pair("journal_stalled_ms", static_cast<std::uint64_t>(journal_->counts().stalled) / 1000) +
       pair("rounds", core_->rounds());
-  // What the module was told of attempts: how many ended so, and after how long in the mean.
+  // Attempts by the outcome reported to the dispatcher: their number and mean duration.
   static constexpr const char* kOutcomes[] = {"ok",    "error",     "full",    "timeout", "connect_failed",
                                               "reset", "cancelled", "not_sent"};
   for (std::size_t i = 0; i < std::size(kOutcomes); i++) {
--- a/src/platform/relay_recovery.cpp
+++ b/src/platform/relay_recovery.cpp
@@ -1,4 +1,5 @@
-// What a relay takes over from its last run: messages held, ends to be told, ends remembered.
+// Recovery of the relay's state from the journal: held messages, final answers still to be reported, and
+// final answers that are remembered for copies.
 #include <algorithm>
 
 #include "node/clock.hpp"
@@ -27,24 +28,24 @@
 }  // namespace
 
 void Relay::recover() {
-  auto& keeper = journal_->keeper();
+  auto& coordinator = journal_->keeper();
   const Time now = loop_.refresh();
   const auto clock = node::clock_now();
-  keeper.begin(journal::begin(keeper.image(), clock), now);
+  coordinator.begin(journal::begin(coordinator.image(), clock), now);
   const auto place = [](const settings::Names& names, const std::string& name) {
     const int at = settings::position(names, name);
     return at < 0 ? std::nullopt : std::optional(at);
   };
   auto found = journal::recover(
-      keeper.image(), now,
+      coordinator.image(), now,
       {.destination = [](const std::string& name) { return static_cast<DestinationId>(std::stoll(name)); },
        .message_class = [&](const std::string& name) { return place(config_.names.classes, name); },
        .tenant = [&](const std::string& name) { return place(config_.names.tenants, name); }});
-  next_id_ = keeper.image().next_id();
+  next_id_ = coordinator.image().next_id();
   for (auto& k : found.known) core_->known(k);
   for (const auto& m : found.messages) {
-    const auto& as_taken = keeper.image().held().at(m.id).now;
-    requests_.restore(now, m.id, m.message->owner, platform::fingerprint_of(as_taken));
+    const auto& accepted = coordinator.image().held().at(m.id).now;
+    requests_.restore(now, m.id, m.message->owner, platform::fingerprint_of(accepted));
     attempts_->follow(m.id);
     log_.line(Event::recovered, m.message->owner, [&] {
       return "attempts=" + std::to_string(m.before.attempts) +
@@ -53,27 +54,27 @@
     });
     core_->restore(now, m.id, m.message, m.deadline, m.before);
   }
-  // Ends that may not have been told: told again, which does no harm.
+  // Final answers that may not have been reported: reported again, which is harmless.
   std::vector<journal::record::Answered> ended;
-  for (const auto& [id, answer] : keeper.image().answers()) ended.push_back(answer.is);
+  for (const auto& [id, answer] : coordinator.image().answers()) ended.push_back(answer.is);
   recover_ends(now);
   for (const auto& a : ended) {
     if (a.verdict == journal::record::Verdict::served || a.owner.empty())
-      keeper.handed_over(a.id);
+      coordinator.handed_over(a.id);
     else
       outcomes_->add(a.id, a.verdict == journal::record::Verdict::refused
                                ? returned_notice(a.owner, a.come_back)
                                : failed_notice(a.owner));
   }
   for (const auto id : found.classless) {
-    const auto it = keeper.image().held().find(id);
-    if (it != keeper.image().held().end()) {
-      const auto& as_taken = it->second.now;
-      const std::string& name = as_taken.message->owner;
-      requests_.remember(now, name, platform::fingerprint_of(as_taken), RequestState::failed);
+    const auto it = coordinator.image().held().find(id);
+    if (it != coordinator.image().held().end()) {
+      const auto& accepted = it->second.now;
+      const std::string& name = accepted.message->owner;
+      requests_.remember(now, name, platform::fingerprint_of(accepted), RequestState::failed);
       outcomes_->add(id, failed_notice(name));
     }
-    keeper.end_classless(id);
+    coordinator.end_classless(id);
   }
   if (!found.messages.empty() || !ended.empty())
     log_.say(Event::recovered, std::to_string(found.messages.size()) + " messages held, " +
--- a/src/platform/request_registry.cpp
+++ b/src/platform/request_registry.cpp
@@ -7,9 +7,9 @@
 namespace cedarplank::platform {
 namespace {
 
-constexpr Time kDuplicatesDieOut = 60'000'000;
+constexpr Time kDuplicateLifetime = 60'000'000;  // 2 MSL as common systems set it
 
-// Of 64 bits: two ids are taken for one once in 10^15.
+// With 64 bits, two different ids are mistaken for one once in 10^15.
 std::uint64_t hash_of(const std::string& name) { return XXH3_64bits(name.data(), name.size()); }
 
 }  // namespace
@@ -17,7 +17,7 @@
 Time ends_kept(const Settings& settings) {
   Time longest = 0;
   for (const auto& cls : settings.classes) longest = std::max(longest, cls.deadline);
-  return std::max(2 * longest, kDuplicatesDieOut);
+  return std::max(2 * longest, kDuplicateLifetime);
 }
 
 const char* name_of(RequestState state) {
@@ -103,7 +103,8 @@
 void RequestRegistry::remember(Time now, const std::string& name, std::uint64_t fingerprint, RequestState how,
                                Time come_back) {
   const auto hash = hash_of(name);
-  if (!ends_.emplace(hash, End{how, fingerprint, now, come_back}).second) return;  // the first end counts
+  // The first final answer counts.
+  if (!ends_.emplace(hash, End{how, fingerprint, now, come_back}).second) return;
   in_order_.push_back({now, hash});
   forget_old(now);
 }
--- a/src/platform/request_registry.hpp
+++ b/src/platform/request_registry.hpp
@@ -1,16 +1,17 @@
-// What this relay knows of each client's id. The one owner of that knowledge: clients and copies, notices,
-// starts and the log are all answered from it, so that no two of them hear different things.
+// The state of each request by the id that its client gave it. This registry is the only source of that
+// state: answers to clients and to copies of a request, notices, recovery and the log all use it, so that
+// none contradicts another.
 //
-//   unknown -> waiting                                  read and held in memory; its clients wait for a word
-//   waiting -> accepted                                 on record and told so; its end is owed
-//   waiting, accepted -> delivered | returned | failed  its end, the same for every copy
-//   unknown -> returned                                 turned away
-//   waiting -> unknown                                  all its clients left before any word; nothing has run
+//   unknown -> waiting                                  read, held in memory; its clients wait for an answer
+//   waiting -> accepted                                 durable and acknowledged; a final answer is due
+//   waiting, accepted -> delivered | returned | failed  the final answer, the same for every copy
+//   unknown -> returned                                 rejected
+//   waiting -> unknown                                  all its clients left unanswered; nothing has run
 //
-// A request may come again under its id: a client whose connection ended with no answer sends it once more
-// and can't know whether it was read; others hedge. Guards against a copy that is answered as failed while
-// the first one goes on being sent (rule 1), and against one that is taken as a new message once the first
-// had its end (rules 1 and 2).
+// A request may come again under the same id: a client whose connection ended without an answer sends it
+// again, since it can't know whether it was read; other clients send hedged copies. The registry guards
+// against a copy that is answered as failed while the first request is still being sent (rule 1), and against
+// a copy that is accepted as a new message after the first has ended (rules 1 and 2).
 #pragma once
 
 #include <cstdint>
@@ -26,11 +27,12 @@
 
 namespace cedarplank::platform {
 
-// How long ends are remembered, us: twice the longest time that a message may have, since its client's copies
-// carry what is left of it; and no less than a minute, since others may hold a copy for longer (2 MSL as
-// systems have it: by then old duplicates have died out on the network, RFC 9293 section 3.4.1).
+// How long final answers are remembered, in us: twice the longest deadline of any class, since copies of a
+// request carry what is left of its time; and at least a minute, since others may hold a copy for longer (2
+// MSL as common systems set it: by then old duplicates have left the network, RFC 9293 section 3.4.1).
 Time ends_kept(const Settings& settings);
 
+// The names, as name_of() gives them, appear in the log and in the counters.
 enum class RequestState { waiting, accepted, delivered, returned, failed };
 const char* name_of(RequestState state);
 
@@ -39,54 +41,60 @@
   using Client = Clients::Number;
   struct Known {
     RequestState state;
-    bool same;           // the same content; else it is another request under a used id
-    MessageId id = 0;    // waiting or accepted
-    Time since = 0;      // when it came into that state
-    Time come_back = 0;  // returned: from when on it may be handed in again; 0: at any time
+    bool same;           // the content is the same; otherwise this is another request under a used id
+    MessageId id = 0;    // set while waiting or accepted
+    Time since = 0;      // when it entered that state
+    Time come_back = 0;  // if returned: when it may be submitted again; 0: at any time
   };
   struct Ended {
-    std::string name;             // empty: it is not known, its clients have left
-    std::vector<Client> waiting;  // that have heard nothing yet
+    std::string name;             // the client's id; empty: not held here, since its clients have left
+    std::vector<Client> waiting;  // clients that have not been answered
   };
   struct Withdrawn {
     MessageId id = 0;
     std::string name;
     std::uint64_t fingerprint = 0;
-    std::vector<Client> reading;  // that send nothing more and still read
+    std::vector<Client> reading;  // clients that send nothing more but may still read
   };
-  // `kept`: for how long an end is remembered, us.
+  // `kept`: for how long a final answer is remembered, in us.
   explicit RequestRegistry(Time kept) : kept_(kept) {}
 
-  // `fingerprint`: the same for requests of the same content, see journal::fingerprint().
+  // Looks up a request by its client's id. `fingerprint` is equal for requests of the same content, see
+  // journal::fingerprint().
   std::optional<Known> find(Time now, const std::string& name, std::uint64_t fingerprint);
 
+  // Adds a new request as waiting, with its first client.
   void take(Time now, MessageId id, const std::string& name, std::uint64_t fingerprint, Client client);
-  // One more client waits for the same word.
+  // Adds another client that waits for the same answer.
   void join(MessageId id, Client client);
-  // An earlier run took it on.
+  // Adds a request that an earlier run accepted.
   void restore(Time now, MessageId id, const std::string& name, std::uint64_t fingerprint);
   bool is_waiting(MessageId id) const;
-  // It is taken on; returns the clients that are to hear so.
+  // Marks the request as accepted; returns the clients to acknowledge it to.
   std::vector<Client> accept(Time now, MessageId id);
+  // Gives a held request its final state and remembers it.
   Ended end(Time now, MessageId id, RequestState how, Time come_back = 0);
-  // One that is not held has its end: it was turned away, withdrawn, or ended in an earlier run.
+  // Remembers the final state of a request that is not held: one that was rejected, cancelled, or ended in an
+  // earlier run.
   void remember(Time now, const std::string& name, std::uint64_t fingerprint, RequestState how,
                 Time come_back = 0);
 
+  // Whether this client waits for an answer.
   bool waits(Client client) const { return clients_.count(client) > 0; }
-  // A client that waits has gone, or sends nothing more (`reads`: and still reads). Nothing: another client
-  // waits for the same word.
+  // A waiting client has disconnected, or sends nothing more but still reads (`reads`). Returns the request
+  // if no other client waits for it: it is dropped then.
   std::optional<Withdrawn> leave(Client client, bool reads);
 
-  std::string name_of(MessageId id) const;  // empty: not held
+  std::string name_of(MessageId id) const;  // the client's id of a held request; empty: not held
+  // Final answers that were forgotten early, because there were too many.
   std::uint64_t forgotten() const { return forgotten_; }
 
-  static constexpr std::size_t kMost = 32'768;  // ends; beyond them the oldest is forgotten before its time
+  static constexpr std::size_t kMost = 32'768;  // final answers; beyond them the oldest is forgotten early
 
  private:
   struct Waiter {
     Client client;
-    bool leaving = false;
+    bool leaving = false;  // sends nothing more, may still read
   };
   struct Held {
     std::string name;
@@ -105,15 +113,16 @@
     std::uint64_t hash;
   };
   void forget_old(Time now);
+  // Takes a request and its clients out of the maps.
   Held drop(MessageId id);
 
   const Time kept_;
   std::map<MessageId, Held> held_;
-  std::unordered_map<std::string, MessageId> names_;  // of those held
-  std::map<Client, MessageId> clients_;               // that wait
-  std::unordered_map<std::uint64_t, End> ends_;       // by the name's hash
-  std::deque<Remembered> in_order_;                   // of ends_, oldest first
-  std::uint64_t forgotten_ = 0;                       // ends that were forgotten before their time
+  std::unordered_map<std::string, MessageId> names_;  // held requests by the client's id
+  std::map<Client, MessageId> clients_;               // clients that wait for an answer
+  std::unordered_map<std::uint64_t, End> ends_;       // by the hash of the client's id
+  std::deque<Remembered> in_order_;                   // the entries of the map above, oldest first
+  std::uint64_t forgotten_ = 0;                       // final answers that were forgotten early
 };
 
 }  // namespace cedarplank::platform
