--- a/src/http1/message.cpp
+++ b/src/http1/message.cpp
@@ -5,19 +5,19 @@
 namespace cedarplank::http1 {
 namespace {
 
-constexpr int kMostInterim = 16;         // 1xx ahead of one answer
-constexpr std::size_t kChunkLine = 256;  // with extensions, which are passed over
+constexpr int kMaxInterimResponses = 16;         // 1xx responses before one answer
+constexpr std::size_t kMaxChunkLineBytes = 256;  // including chunk extensions, which are ignored
 
-// RFC 9110 section 5.6.2.
-bool token(std::string_view text) {
+// A token by RFC 9110 section 5.6.2.
+bool is_token(std::string_view text) {
   constexpr std::string_view kOther = "!#$%&'*+-.^_`|~";
   return !text.empty() && std::all_of(text.begin(), text.end(), [&](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
            kOther.find(c) != std::string_view::npos;
   });
 }
-// RFC 9110 section 5.5: visible characters, obs-text, space and tab.
-bool field_value(std::string_view text) {
+// A field value by RFC 9110 section 5.5: visible characters, obs-text, space and tab.
+bool is_field_value(std::string_view text) {
   return std::all_of(text.begin(), text.end(), [](char c) {
     const auto u = static_cast<unsigned char>(c);
     return u == '\t' || (u >= 0x20 && u != 0x7f);
@@ -34,11 +34,11 @@
   if (first == std::string_view::npos) return {};
   return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
-bool digits(std::string_view text) {
+bool all_digits(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
-// Whether a list field holds this word (RFC 9110 section 5.6.1).
-bool lists(const Message& m, std::string_view name, std::string_view word) {
+// Whether a list field contains this word (RFC 9110 section 5.6.1).
+bool list_contains(const Message& m, std::string_view name, std::string_view word) {
   for (const auto& f : m.fields) {
     if (f.name != name) continue;
     std::string_view rest = f.value;
@@ -116,7 +116,7 @@
     const auto n = end == std::string_view::npos ? rest.size() : end + 1;
     const bool chunk_line = part_ == Part::chunk_size || part_ == Part::chunk_end;
     head_ += chunk_line ? 0 : n;
-    if (chunk_line && line_.size() + n > kChunkLine) {
+    if (chunk_line && line_.size() + n > kMaxChunkLineBytes) {
       fail(400, "a chunk's line is too long");
       break;
     }
@@ -127,7 +127,7 @@
     line_.append(rest.substr(0, n));
     at += n;
     if (end == std::string_view::npos) {
-      // A carriage return alone ends no line: refused as soon as it is seen (RFC 9112 section 2.2).
+      // A bare carriage return does not end a line: rejected as soon as it is seen (RFC 9112 section 2.2).
       const auto cr = line_.find('\r');
       if (cr != std::string::npos && cr + 1 < line_.size()) fail(400, "a carriage return within a line");
       continue;
@@ -158,7 +158,7 @@
 bool Reader::line(std::string_view text) {
   switch (part_) {
     case Part::start:
-      // An empty line ahead of a request is passed over, one of them (RFC 9112 section 2.2).
+      // One empty line before a request is ignored (RFC 9112 section 2.2).
       if (text.empty() && side_ == Side::requests && empty_++ == 0) return state_ = State::waiting, true;
       return start_line(text);
     case Part::fields:
@@ -170,7 +170,7 @@
       part_ = Part::chunk_size;
       return true;
     case Part::trailers:
-      if (!text.empty()) return true;  // not used, so not kept (RFC 9112 section 7.1.2)
+      if (!text.empty()) return true;  // not used, so not stored (RFC 9112 section 7.1.2)
       finish();
       return true;
     case Part::counted:
@@ -183,8 +183,8 @@
 
 bool Reader::start_line(std::string_view text) {
   const auto version = [&](std::string_view v) {
-    if (v.size() != 8 || v.substr(0, 5) != "HTTP/" || v[6] != '.' || !digits(v.substr(5, 1)) ||
-        !digits(v.substr(7, 1)))
+    if (v.size() != 8 || v.substr(0, 5) != "HTTP/" || v[6] != '.' || !all_digits(v.substr(5, 1)) ||
+        !all_digits(v.substr(7, 1)))
       return fail(400, "no HTTP version");
     if (v[5] != '1') return fail(505, "a version other than HTTP/1");
     message_.minor = v[7] - '0';
@@ -196,14 +196,14 @@
     if (two == std::string_view::npos || text.find(' ', two + 1) != std::string_view::npos)
       return fail(400, "no request line");
     message_.method = text.substr(0, one), message_.target = text.substr(one + 1, two - one - 1);
-    if (!token(message_.method) || message_.target.empty() ||
+    if (!is_token(message_.method) || message_.target.empty() ||
         !std::all_of(message_.target.begin(), message_.target.end(),
                      [](char c) { return c > ' ' && c < 0x7f; }))
       return fail(400, "no request line");
     if (!version(text.substr(two + 1))) return false;
   } else {
     if (text.size() < 12 || text[8] != ' ' || (text.size() > 12 && text[12] != ' ') ||
-        !digits(text.substr(9, 3)) || text[9] < '1' || !field_value(text))
+        !all_digits(text.substr(9, 3)) || text[9] < '1' || !is_field_value(text))
       return fail(502, "no status line");
     if (!version(text.substr(0, 8))) return false;
     message_.status = (text[9] - '0') * 100 + (text[10] - '0') * 10 + (text[11] - '0');
@@ -216,8 +216,8 @@
 bool Reader::field_line(std::string_view text) {
   if (text.front() == ' ' || text.front() == '\t') return fail(400, "a folded line");
   const auto colon = text.find(':');
-  if (colon == std::string_view::npos || !token(text.substr(0, colon)) ||
-      !field_value(text.substr(colon + 1)))
+  if (colon == std::string_view::npos || !is_token(text.substr(0, colon)) ||
+      !is_field_value(text.substr(colon + 1)))
     return fail(400, "a field that can't be read");
   if (message_.fields.size() >= bounds_.fields) return fail(431, "more fields than allowed");
   message_.fields.push_back({lower(text.substr(0, colon)), std::string(trimmed(text.substr(colon + 1)))});
@@ -227,18 +227,18 @@
 bool Reader::head_done() {
   if (side_ == Side::responses && message_.status < 200) {
     if (message_.status == 101) return fail(502, "another protocol, not asked for");
-    if (++interim_ > kMostInterim) return fail(502, "interim answers without end");
+    if (++interim_ > kMaxInterimResponses) return fail(502, "interim answers without end");
     begin();
     state_ = State::head;
     return true;
   }
-  const bool closing = lists(message_, "connection", "close");
-  message_.close = closing || (message_.minor == 0 && !lists(message_, "connection", "keep-alive"));
+  const bool closing = list_contains(message_, "connection", "close");
+  message_.close = closing || (message_.minor == 0 && !list_contains(message_, "connection", "keep-alive"));
   state_ = State::body;
   return framing();
 }
 
-// How long the body is: RFC 9112 section 6.3.
+// Determines the length of the body: RFC 9112 section 6.3.
 bool Reader::framing() {
   const bool coded = message_.has("transfer-encoding"), counted = message_.has("content-length");
   if (coded && counted) return fail(400, "both Content-Length and Transfer-Encoding");
@@ -252,7 +252,7 @@
     part_ = Part::chunk_size, head_ = 0;
   } else if (counted) {
     const auto* length = message_.find("content-length");
-    if (length == nullptr || !digits(*length)) return fail(400, "a Content-Length that is no number");
+    if (length == nullptr || !all_digits(*length)) return fail(400, "a Content-Length that is no number");
     if (length->size() > 18 || (left_ = std::stoull(*length)) > bounds_.body)
       return fail(413, "a body longer than allowed");
     if (left_ == 0) return finish(), true;
@@ -334,7 +334,7 @@
 }
 
 namespace {
-void add(std::string& out, const std::vector<Field>& fields) {
+void append_fields(std::string& out, const std::vector<Field>& fields) {
   for (const auto& f : fields) out += f.name, out += ": ", out += f.value, out += "\r\n";
 }
 }  // namespace
@@ -344,7 +344,7 @@
   std::string out;
   out.reserve(256 + body.size());
   out.append(method).append(" ").append(target).append(" HTTP/1.1\r\nHost: ").append(host).append("\r\n");
-  add(out, fields);
+  append_fields(out, fields);
   if (method != "GET") out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
   out.append("\r\n").append(body);
   return out;
@@ -352,7 +352,7 @@
 
 std::string response(int status, const std::vector<Field>& fields, std::string_view body, bool close) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status) + "\r\n";
-  add(out, fields);
+  append_fields(out, fields);
   if (status >= 200 && status != 204) out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
   if (close) out += "Connection: close\r\n";
   out.append("\r\n").append(body);
@@ -364,7 +364,7 @@
   const auto point = text.find('.');
   const auto whole = text.substr(0, point);
   const auto part = point == std::string_view::npos ? std::string_view() : text.substr(point + 1);
-  if (!digits(whole) || (point != std::string_view::npos && !digits(part))) return false;
+  if (!all_digits(whole) || (point != std::string_view::npos && !all_digits(part))) return false;
   std::int64_t value = 0;
   for (const char c : whole) value = std::min(value * 10 + (c - '0'), kMost);
   std::int64_t fraction = 0, unit = 100'000;
--- a/src/http1/message.hpp
+++ b/src/http1/message.hpp
@@ -1,6 +1,6 @@
-// HTTP/1.1 messages (RFC 9112), both sides, free of I/O: bytes in, messages out, and the bytes of messages.
-// Strict: what two readers could take differently is refused, not guessed (RFC 9112 section 11.2), and every
-// length is bounded before anything is kept.
+// HTTP/1.1 messages (RFC 9112) for servers and clients: a parser and functions that build messages. Free of
+// I/O. The parser is strict: a message that two parsers could interpret differently is rejected (RFC 9112
+// section 11.2), and every length is checked against its bound before anything is stored.
 #pragma once
 
 #include <cstddef>
@@ -22,52 +22,57 @@
   int minor = 1;               // of HTTP/1.x
   std::vector<Field> fields;
   std::string body;
-  bool close = false;  // the connection carries nothing after it (RFC 9112 section 9.3)
+  bool close = false;  // the connection ends after this message (RFC 9112 section 9.3)
 
-  const std::string* find(std::string_view name) const;  // in lower case; nullptr: none, or more than one
+  // The value of a field, by its name in lower case; nullptr: there is none, or more than one.
+  const std::string* find(std::string_view name) const;
   bool has(std::string_view name) const;
 };
 
 struct Bounds {
-  std::size_t head = 16 * 1024;  // bytes: start line and fields; and again for trailers
+  std::size_t head = 16 * 1024;  // bytes of start line and fields together; the same again for trailers
   std::size_t fields = 64;
   std::size_t body = 64 * 1024;  // bytes
 };
 
-// Reads messages of one connection, one after the other.
+// Parses the messages of one connection, one after the other.
 class Reader {
  public:
   enum class Side { requests, responses };
   enum class State {
-    waiting,   // for a message's first byte
-    head,      // in its start line or fields
-    body,      // its head is whole: see message()
-    complete,  // until next()
-    broken     // for good: see problem()
+    waiting,   // for the first byte of a message
+    head,      // in the start line or the fields
+    body,      // the head is complete: see message()
+    complete,  // the message is complete, until next() is called
+    broken     // the message is malformed or too long: see problem(); nothing more can be read
   };
   explicit Reader(Side side, Bounds bounds = {}) : side_(side), bounds_(bounds) {}
 
-  // Takes bytes up to the end of one message. Returns how many were taken; the rest belongs to the next one.
+  // Consumes bytes up to the end of one message. Returns how many; the rest belongs to the next message.
   std::size_t take(std::string_view bytes);
-  // The peer sends nothing more: ends a response whose body is all that comes (RFC 9112 section 6.3 (8)).
+  // The peer sends nothing more: completes a response whose body lasts until the connection ends (RFC 9112
+  // section 6.3 (8)).
   void end();
-  // On to the next message.
+  // Starts with the next message.
   void next();
 
   State state() const { return state_; }
-  // Of a response whose first line could be read, else 0. Interim ones (1xx) do not count.
+  // The status of a response whose status line could be read, else 0. Interim responses (1xx) do not count.
   int first_line() const { return first_line_; }
   const Message& message() const { return message_; }
   Message& message() { return message_; }
-  // Broken: the status that a server answers with, and why.
+  // If broken: the status that a server answers with, and the reason.
   int status() const { return status_; }
   const char* problem() const { return problem_; }
-  // A request that waits for "100 Continue" before it sends its body (RFC 9110 section 10.1.1).
+  // Whether the client waits for "100 Continue" before it sends the body (RFC 9110 section 10.1.1).
   bool expects_continue() const { return state_ == State::body && expects_continue_; }
 
  private:
+  // What comes next in the message. A body is read by its Content-Length, until the connection ends, or in
+  // chunks.
   enum class Part { start, fields, counted, to_end, chunk_size, chunk, chunk_end, trailers };
-  bool line(std::string_view text);  // false: broken
+  // These handle a line without its end, the end of the head, and the body's length; false: broken.
+  bool line(std::string_view text);
   bool start_line(std::string_view text);
   bool field_line(std::string_view text);
   bool chunk_line(std::string_view text);
@@ -82,24 +87,25 @@
   State state_ = State::waiting;
   Part part_ = Part::start;
   Message message_;
-  std::string line_;        // of which the end has not come
-  std::size_t head_ = 0;    // bytes of the head, or of the trailers, so far
-  std::uint64_t left_ = 0;  // bytes of the body, or of this chunk, to come
-  int interim_ = 0, empty_ = 0;
+  std::string line_;             // a line whose end has not arrived
+  std::size_t head_ = 0;         // bytes of the head, or of the trailers, so far
+  std::uint64_t left_ = 0;       // bytes of the body, or of this chunk, still to come
+  int interim_ = 0, empty_ = 0;  // interim responses, and empty lines, before this message
   int first_line_ = 0, status_ = 0;
   const char* problem_ = "";
   bool expects_continue_ = false;
 };
 
-// Whole messages. Content-Length is added where there is a body, or may be one.
+// Build complete messages. Content-Length is added where there is a body or may be one.
 std::string request(std::string_view method, std::string_view target, std::string_view host,
                     const std::vector<Field>& fields, std::string_view body);
 std::string response(int status, const std::vector<Field>& fields, std::string_view body, bool close);
 const char* reason_phrase(int status);
 
-// A number of seconds as headers give it, whole or decimal (digits, at most one point); in us, at most two
-// days. False: anything else.
+// Reads a number of seconds from a header, whole or decimal (digits with at most one point), into
+// microseconds; larger values become two days. Returns false for anything else.
 bool seconds_of(std::string_view text, std::int64_t& us);
-std::string seconds_text(std::int64_t us);  // in milliseconds' steps, rounded up
+// A number of seconds for a header, rounded up to milliseconds.
+std::string seconds_text(std::int64_t us);
 
 }  // namespace cedarplank::http1
--- a/tests/event_log_test.cpp
+++ b/tests/event_log_test.cpp
@@ -1,3 +1,4 @@
+// The event log: the limit on lines per second and the report of suppressed lines.
 #include "platform/event_log.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
   EXPECT_EQ(lines["journal"], 1);
 }
 
-// Under faults just the lines that are looked for fall out: their ids are told.
+// During a fault the lines of interest are the ones that exceed the limit, so their ids have to be logged.
 TEST(EventLog, OfLinesThatAreLeftOutTheIdsAreTold) {
   std::vector<std::string> left_out;
   EventLog log([&](const char* event, const std::string& text) {
--- a/tests/http1_test.cpp
+++ b/tests/http1_test.cpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 as the engine reads it: what is refused, and that no cut of the bytes makes a difference.
+// The HTTP/1.1 parser: which messages it rejects, and that it reads the same however the bytes are split.
 #include <gtest/gtest.h>
 
 #include "http1/message.hpp"
@@ -88,7 +88,7 @@
     for (std::size_t piece = 1; piece <= bytes.size() + 9; piece++) {
       const auto r = read(Side::requests, bytes + "GET / HTT", piece);
       ASSERT_EQ(r.state, State::complete);
-      EXPECT_EQ(r.taken, bytes.size());  // and not a byte of the next one
+      EXPECT_EQ(r.taken, bytes.size());  // and no byte of the next message
       EXPECT_EQ(r.message.body, "hello");
       EXPECT_EQ(r.message.method, "POST");
       EXPECT_FALSE(r.message.close);
@@ -118,9 +118,9 @@
   EXPECT_EQ(open.state(), State::complete);
   EXPECT_EQ(open.message().body, "all of it");
   EXPECT_TRUE(open.message().close);
-  Reader without_end(Side::responses);
-  for (int i = 0; i < 40; i++) without_end.take("HTTP/1.1 102 P\r\n\r\n");
-  EXPECT_EQ(without_end.state(), State::broken);
+  Reader endless(Side::responses);
+  for (int i = 0; i < 40; i++) endless.take("HTTP/1.1 102 P\r\n\r\n");
+  EXPECT_EQ(endless.state(), State::broken);
 }
 
 TEST(Http1, SpoiltAnswersAreBoundedAndTellTheirFirstLine) {
