--- a/src/platform/exchange.hpp
+++ b/src/platform/exchange.hpp
@@ -16,7 +16,7 @@
 
 class Exchange {
  public:
-  // Gets the answer, or null and the reason why there is none. Always called later, from the event loop.
+  // Gets the answer, or null and the reason why there is none. Not called before the request was sent.
   using Done = std::function<void(const http1::Message* answer, const std::string& why)>;
   Exchange(loop::Loop& loop, const std::string& address, http1::Bounds bounds);
   ~Exchange();
