--- a/src/back/driver.cpp
+++ b/src/back/driver.cpp
@@ -64,7 +64,8 @@
   if (calls_.erase(id) > 0) host_.ended(id, std::move(ending));
 }
 
-// Where the core is in the middle of a round, or the pool's steps are being carried out.
+// For use while the core is in the middle of a round or the pool's steps are being carried out: the outcome
+// is reported at the end of the turn.
 void Driver::end_later(CallId id, relay::Ending ending) {
   host_.defer([this, alive = alive_, id, ending = std::move(ending)] {
     if (*alive) end(id, ending);
@@ -85,7 +86,7 @@
 
 void Driver::pump(const EndpointId& id) {
   std::vector<pool::Step> steps;
-  // A step may make room for others, or find that its connection can't be made.
+  // Repeated because a step may free capacity for other calls, or find that its connection cannot be created.
   for (Peer* peer = find(id); peer != nullptr; peer = find(id), steps.clear()) {
     peer->pump_due = false;
     look_at_room(*peer);
@@ -94,7 +95,7 @@
       rearm(*peer);
       break;
     }
-    std::vector<CallId> no_room;  // after all; they keep their order
+    std::vector<CallId> no_room;  // not submitted after all; they keep their order
     for (const auto& step : steps) {
       carry_out(*peer, step, no_room);
       if ((peer = find(id)) == nullptr) return;
@@ -102,7 +103,8 @@
     peer->pool.wait_again(no_room);
   }
   drop_if_done(id);
-  // Whoever waits for room at the gate: at the turn's end, since this may be inside another's steps.
+  // The next endpoint that waits for the handshake limit. It is handled at the end of the turn, since this
+  // call may come from within another endpoint's steps.
   if (const auto next = gate_.next(); next && *next != id)
     if (Peer* other = find(*next)) pump_soon(*other);
 }
@@ -125,16 +127,17 @@
 void Driver::look_at_room(Peer& peer) {
   for (auto& [n, c] : peer.links) {
     if (c.closing || !c.link) continue;
-    const auto room = c.link->room();
-    if (!room) continue;
-    peer.pool.set_streams_max(n, room->calls_max);
-    peer.pool.set_blocked(n, room->blocked);
+    const auto capacity = c.link->room();
+    if (!capacity) continue;
+    peer.pool.set_streams_max(n, capacity->calls_max);
+    peer.pool.set_blocked(n, capacity->blocked);
   }
 }
 
 void Driver::rearm(Peer& peer) {
   const Time due = peer.pool.next_due(), now = host_.now();
-  // One that fires earlier looks again; one that an earlier one has overtaken does nothing.
+  // A timer that fires before `due` sets the next one itself. A timer that an earlier one has replaced does
+  // nothing when it fires.
   if (due == pool::kNever || (peer.timer_at > now && peer.timer_at <= due)) return;
   peer.timer_at = due;
   host_.at(due, [this, alive = alive_, id = peer.endpoint.id, due] {
@@ -160,19 +163,19 @@
 }
 
 void Driver::submit(Peer& peer, pool::LinkId n, CallId id, std::vector<CallId>& no_room) {
-  using Went = Link::Submitted::Went;
+  using Status = Link::Submitted::Went;
   Connection& c = peer.links.at(n);
   Call& call = calls_.at(id);
   const Time left = std::max<Time>(0, call.order.time_left - (host_.now() - call.given));
   auto submitted = c.link->submit(call.order, left);
-  if (submitted.went == Went::yes) {
+  if (submitted.went == Status::yes) {
     call.link = n;
     c.calls.insert(id);
     if (host_.carried) host_.carried(call.order, n, submitted.stream);
     return;
   }
   peer.pool.over(n, host_.now());
-  if (submitted.went == Went::no_room)  // an earlier one of the same steps has filled what is read at once
+  if (submitted.went == Status::no_room)  // an earlier call of the same steps has used the remaining capacity
     no_room.push_back(id);
   else
     end_later(id, std::move(submitted.ending));
@@ -223,7 +226,7 @@
 void Driver::gone(const EndpointId& id, pool::LinkId n, const std::string& why) {
   Peer* peer = find(id);
   if (find(peer, n) == nullptr) return;
-  // Destroyed later: this may be called from the link itself.
+  // Destroyed at the end of the turn, since the connection itself may have made this call.
   auto c = std::make_shared<Connection>(std::move(peer->links.at(n)));
   peer->links.erase(n);
   host_.defer([c] {});
@@ -248,7 +251,8 @@
   if (peer == nullptr) return call.link == 0 ? Recalled::waiting : Recalled::sent;
   if (call.link == 0) {
     peer->pool.withdraw(id);
-    // Also where it waited at the gate: then the relay, not the endpoint, was short of room.
+    // Counts as waiting also if the endpoint waited for the handshake limit: then the relay, not the
+    // endpoint, lacked capacity.
     return !peer->pool.any_standing() && peer->pool.any_connecting() ? Recalled::connecting
                                                                      : Recalled::waiting;
   }
--- a/src/back/driver.hpp
+++ b/src/back/driver.hpp
@@ -1,6 +1,7 @@
-// The back without its protocols: the core's calls to endpoints, over connections that a pool::Pool for each
-// endpoint opens and closes, and their outcomes back. Free of I/O and clock: sockets, SMPP binds and the
-// lab's virtual connections all hang on it by back::Link.
+// Endpoint driver: sends the core's calls to endpoints and reports their outcomes, independently of the
+// protocol. A pool::Pool for each endpoint decides which connections are opened and closed. The driver does
+// no I/O and reads no clock itself: HTTP/2 connections, SMPP binds and the simulator's virtual connections
+// implement the Link interface.
 //
 // All times are in microseconds of the host's monotonic clock.
 #pragma once
@@ -19,27 +20,29 @@
 
 class Driver final : public relay::Transport {
  public:
+  // What the driver needs from the program that runs it.
   struct Host {
     std::function<Time()> now;
-    std::function<void(std::function<void()>)> defer;     // runs it at the turn's end
+    std::function<void(std::function<void()>)> defer;     // runs it at the end of the loop's current turn
     std::function<void(Time, std::function<void()>)> at;  // runs it at that time
-    // Starts a connection, which tells this driver of what comes, though never from within this call.
-    // Throws where none can be made.
+    // Starts a connection. It reports its events to this driver, but never from within this call.
+    // Throws if the connection cannot be created.
     std::function<std::unique_ptr<Link>(const config::PartnerEndpoint&, pool::LinkId)> connect;
-    std::function<void(CallId, relay::Ending)> ended;
+    std::function<void(CallId, relay::Ending)> ended;  // the call has its outcome
     std::function<void(const EndpointId&, Outcome, Time latency)> probe_ended;
-    // The call has left, on that connection and stream; may be missing.
+    // The call was sent, on that connection and stream. Optional.
     std::function<void(const relay::CallOrder&, pool::LinkId, std::uint32_t stream)> carried;
-    std::function<void(const std::string&)> log;  // may be missing
+    std::function<void(const std::string&)> log;  // optional
   };
   Driver(const config::RelaySettings& settings, Host host);
   ~Driver() override;
 
-  // The endpoints of the list; those no longer there finish what is out and are closed.
+  // Takes over the endpoints of the partner list. Endpoints that are no longer listed finish their
+  // outstanding calls and are then closed.
   void set_endpoints(const std::vector<config::PartnerEndpoint>& endpoints);
-  // Settings that may change in service have changed.
+  // Reads the settings again that may change while the relay runs.
   void read_settings();
-  std::uint64_t opened() const { return opened_; }  // connections, since the start
+  std::uint64_t opened() const { return opened_; }  // connections opened since the start
 
   void send(const relay::CallOrder& call) override;
   Recalled cancel(CallId call) override;
@@ -48,16 +51,24 @@
   void close_idle(const EndpointId& endpoint) override;
   void probe(const EndpointId& endpoint) override;
 
-  // Told by links. One that is no longer known says nothing.
+  // Events reported by connections. Those of a connection that the driver no longer knows are ignored.
+
+  // The connection is ready for calls; the peer allows `calls_max` at once.
   void standing(const EndpointId& id, pool::LinkId link, std::uint32_t calls_max);
+  // Something was received from the peer.
   void heard(const EndpointId& id, pool::LinkId link);
   void answered(const EndpointId& id, pool::LinkId link, CallId call, relay::Ending ending);
   void pong(const EndpointId& id, pool::LinkId link);
-  void draining(const EndpointId& id, pool::LinkId link);  // the peer takes no more calls on it
+  void draining(const EndpointId& id, pool::LinkId link);  // the peer accepts no more calls on it
+  // The peer has changed the number of calls that it allows at once.
   void calls_max(const EndpointId& id, pool::LinkId link, std::uint32_t most);
+  // The connection has closed or could not be established. Its outstanding calls end.
   void gone(const EndpointId& id, pool::LinkId link, const std::string& why);
-  // Something may have changed: does what the pool says is to be done, now or at the turn's end.
+
+  // Carries out the steps that the endpoint's pool asks for now. To be called when the state of a connection
+  // may have changed.
   void pump(const EndpointId& id);
+  // The same at the end of the turn.
   void touched(const EndpointId& id);
 
  private:
@@ -66,31 +77,33 @@
     std::set<CallId> calls;
     bool closing = false;
   };
-  struct Peer {  // one endpoint
+  struct Peer {  // one endpoint with its connections
     config::PartnerEndpoint endpoint;
     pool::Pool pool;
     std::map<pool::LinkId, Connection> links;
     Time timer_at = 0;
     bool pump_due = false;
-    Peer(const config::PartnerEndpoint& e, const pool::Settings& s, pool::Gate& gate, pool::LinkId& next,
+    Peer(const config::PartnerEndpoint& e, const pool::Settings& s, pool::Gate& limiter, pool::LinkId& next,
          std::uint64_t seed)
-        : endpoint(e), pool(e.id, s, gate, next, seed) {}
+        : endpoint(e), pool(e.id, s, limiter, next, seed) {}
   };
   struct Call {
     relay::CallOrder order;
-    Time given = 0;
-    pool::LinkId link = 0;  // 0: still waiting
+    Time given = 0;         // when the core passed it to send()
+    pool::LinkId link = 0;  // 0: still waiting for a connection
   };
 
   Peer* find(const EndpointId& id);
   Connection* find(Peer* peer, pool::LinkId link);
-  void pump_soon(Peer& peer);  // at the turn's end, so that sends of one round go out together
+  void pump_soon(Peer& peer);  // at the end of the turn, so that the sends of one round go out together
+  // carry_out() and submit() append to `no_room` the calls for which the connection had no free capacity;
+  // they return to the queue in their order.
   void carry_out(Peer& peer, const pool::Step& step, std::vector<CallId>& no_room);
   void connect(Peer& peer, pool::LinkId link);
   void submit(Peer& peer, pool::LinkId link, CallId id, std::vector<CallId>& no_room);
   void close(Peer& peer, pool::LinkId link, pool::Why why);
-  void rearm(Peer& peer);
-  void look_at_room(Peer& peer);
+  void rearm(Peer& peer);         // sets the timer for the pool's next due time
+  void look_at_room(Peer& peer);  // passes the connections' current capacity on to the pool
   void end(CallId id, relay::Ending ending);
   void end_later(CallId id, relay::Ending ending);
   void drop_if_done(const EndpointId& id);
--- a/src/back/link.hpp
+++ b/src/back/link.hpp
@@ -1,5 +1,6 @@
-// One connection to an endpoint, in whatever protocol its partner speaks: the port between the driver and a
-// protocol's back (gateway::PushLink, sms::BindLink) or the lab's virtual connections.
+// Interface of one connection to an endpoint, independent of the protocol that the partner uses. It stands
+// between the endpoint driver and the implementations: HTTP/2 connections, SMPP binds and the simulator's
+// virtual connections.
 #pragma once
 
 #include <cstdint>
@@ -18,29 +19,30 @@
  public:
   struct Submitted {
     enum class Went { yes, no_room, never } went = Went::yes;
-    std::uint32_t stream = 0;  // yes: its number on this connection
-    relay::Ending ending;      // never: it can't be said in this protocol; nothing of it was sent
+    std::uint32_t stream = 0;  // yes: the number of the call's stream on this connection
+    relay::Ending ending;      // never: the protocol cannot express the call; nothing of it was sent
   };
   struct Room {
-    std::uint32_t calls_max = 0;  // that the peer allows at once
-    bool blocked = false;         // the peer doesn't read what was written: nothing is put behind it
+    std::uint32_t calls_max = 0;  // calls that the peer allows at once
+    bool blocked = false;         // the peer does not read what was written, so no further calls are written
   };
   virtual ~Link() = default;
 
-  // Sends the call. `left` is what is left of its message's time, in us.
+  // Sends the call. `left` is the remaining time of its message, in microseconds.
   virtual Submitted submit(const relay::CallOrder& call, Time left) = 0;
-  // Gives a call up. Nothing is reported for it afterwards, and nothing more of it is sent.
+  // Abandons a call. Nothing more of it is sent, and nothing is reported for it afterwards.
   virtual void reset(CallId call) = 0;
   virtual void ping() = 0;
-  // Closes in good order: what was written still goes out; gone() is told at its end.
+  // Closes gracefully: what was written is still sent. The driver is notified when the connection has closed.
   virtual void close() = 0;
-  // Closes at once; nothing is told any more. May be called from within what the link itself tells.
+  // Closes immediately and reports nothing more. May be called from within the connection's own reports to
+  // the driver.
   virtual void drop() = 0;
-  // What the connection itself knows of its room; nothing while it doesn't stand.
+  // The connection's current capacity; nothing while the connection is not established.
   virtual std::optional<Room> room() = 0;
-  // Housekeeping, at the driver's timers.
+  // Periodic housekeeping, called from the driver's timers.
   virtual void tidy() {}
-  // How a call that was out ends, the connection being lost: whether any of it may have left.
+  // The outcome of an outstanding call after the connection was lost: whether any of it may have been sent.
   virtual relay::Ending ending_when_lost(CallId call, const std::string& why) = 0;
 };
 
--- a/src/node/clock.hpp
+++ b/src/node/clock.hpp
@@ -1,4 +1,4 @@
-// One moment as the machine's clocks show it, for journals.
+// Reads the machine's clocks (wall clock, monotonic clock and boot id) at one moment, for journals.
 #pragma once
 
 #include "journal/recovery.hpp"
--- a/src/node/journal.cpp
+++ b/src/node/journal.cpp
@@ -8,12 +8,13 @@
 namespace cedarplank::node {
 namespace {
 
-constexpr Time kTidyEvery = 100'000, kTidySoon = 5'000;
-constexpr std::size_t kTidyAtOnce = 500;  // items; a few milliseconds of the loop at most
+// Periodic maintenance of the journal's state: the interval, and the shorter one while work is left over.
+constexpr Time kMaintenanceInterval = 100'000, kMaintenanceBusyInterval = 5'000;
+constexpr std::size_t kMaintenanceBatch = 500;  // items; occupies the loop for a few milliseconds at most
 
 store::WriterSettings writer_settings(const config::JournalSettings& j) {
   store::WriterSettings s;
-  s.sync = static_cast<store::WriterSettings::Sync>(j.sync);  // in the same order
+  s.sync = static_cast<store::WriterSettings::Sync>(j.sync);  // both enums have the same order
   s.batch_time = std::chrono::microseconds(j.batch_time);
   s.batch_records = static_cast<std::size_t>(j.batch_records);
   s.log.segment = static_cast<std::uint64_t>(j.segment);
@@ -60,29 +61,30 @@
   if (writer_)
     log_("written: " + std::to_string(writer_->bytes()) + " bytes in " + std::to_string(writer_->commits()) +
          " commits");
-  writer_.reset();  // before the keeper that it tells
+  writer_.reset();  // before the coordinator, which it notifies
 }
 
-journal::Keeper& Journal::connect(Ends ends) {
+journal::Keeper& Journal::connect(Ends ports) {
   const auto& j = *settings_.journal;
   journal::KeeperSettings k;
   k.classes = settings_.dispatcher.classes;
   k.class_names = settings_.names.classes, k.tenant_names = settings_.names.tenants;
   k.answers_for = j.answers_for, k.answers_max = static_cast<std::size_t>(j.answers_max);
-  // Within the half that the writer has for what is taken on: see store::Writer::room().
+  // Together within the half of the disk limit that the writer allows for accepting messages: see
+  // store::Writer::room().
   k.window = static_cast<std::uint64_t>(j.disk_max) / 4;
   k.answers_bytes = static_cast<std::size_t>(j.disk_max) / 8;
   keeper_ = std::make_unique<journal::Keeper>(
       std::move(k), std::move(image_),
       journal::Keeper::Ports{
-          .transport = ends.transport,
-          .answers = ends.answers,
-          .destination = std::move(ends.destination),
+          .transport = ports.transport,
+          .answers = ports.answers,
+          .destination = std::move(ports.destination),
           .append = [this](std::string bytes) { return writer_->append(std::move(bytes)); },
           .release = [this](journal::Sequence upto) { writer_->release(upto); },
-          // Not from within the core's own round.
+          // Deferred, so that it does not run within the core's own round.
           .unsent =
-              [this, unsent = std::move(ends.unsent)](relay::CallId call, relay::Ending ending) {
+              [this, unsent = std::move(ports.unsent)](relay::CallId call, relay::Ending ending) {
                 loop_.defer([unsent, call, ending] { unsent(call, ending); });
               }});
   for (const auto& [sequence, bytes] : read_) keeper_->found(sequence, bytes);
@@ -96,21 +98,21 @@
   const auto& image = keeper_->image();
   const auto base = journal::begin(image, clock_now());
   keeper_->begin(base, now);
-  const auto place = [](const std::vector<std::string>& names, const std::string& name) {
+  const auto index_of = [](const std::vector<std::string>& names, const std::string& name) {
     const auto it = std::find(names.begin(), names.end(), name);
     return it == names.end() ? std::nullopt : std::optional(static_cast<int>(it - names.begin()));
   };
   const auto found = journal::recover(
       image, now,
       {.destination = [&](const std::string& name) { return book.number_of(name); },
-       .message_class = [&](const std::string& name) { return place(settings_.names.classes, name); },
-       .tenant = [&](const std::string& name) { return place(settings_.names.tenants, name); }});
+       .message_class = [&](const std::string& name) { return index_of(settings_.names.classes, name); },
+       .tenant = [&](const std::string& name) { return index_of(settings_.names.tenants, name); }});
   desk.number_from(image.next_id());
   for (const auto& k : found.known) desk.core().known(k);
   for (const auto& m : found.messages)
     desk.restore(now, m.id, m.message, book.name_of(m.message->destination), m.deadline, m.before,
                  heirs.held(m.id, m.message->owner));
-  // Whoever is told may say at once that nobody waits for it: the image changes then.
+  // Copied first: an owner may acknowledge the answer at once, which changes the state being iterated.
   std::vector<journal::record::Answered> owned;
   for (const auto& [id, answer] : image.answers())
     if (!answer.is.owner.empty()) owned.push_back(answer.is);
@@ -122,7 +124,7 @@
          " answers kept, " + std::to_string(found.known.size()) + " endpoints known");
   if (!found.classless.empty())
     log_(std::to_string(found.classless.size()) + " messages ended: their class is gone from the settings");
-  tidy_timer_ = loop_.after(kTidyEvery, [this] { tidy(); });
+  tidy_timer_ = loop_.after(kMaintenanceInterval, [this] { tidy(); });
 }
 
 void Journal::changed() {
@@ -147,8 +149,9 @@
 }
 
 void Journal::tidy() {
-  const bool more = keeper_->tidy(loop_.now(), kTidyAtOnce, writer_->state() != store::Writer::State::well);
-  tidy_timer_ = loop_.after(more ? kTidySoon : kTidyEvery, [this] { tidy(); });
+  const bool more =
+      keeper_->tidy(loop_.now(), kMaintenanceBatch, writer_->state() != store::Writer::State::well);
+  tidy_timer_ = loop_.after(more ? kMaintenanceBusyInterval : kMaintenanceInterval, [this] { tidy(); });
 }
 
 const char* Journal::turns_away() const {
@@ -159,8 +162,8 @@
 
 namespace {
 
-relay::Book::Entry entry_of(const journal::Keeper& keeper, MessageId id) {
-  const auto& image = keeper.image();
+relay::Book::Entry entry_of(const journal::Keeper& coordinator, MessageId id) {
+  const auto& image = coordinator.image();
   using What = relay::Book::Entry::What;
   relay::Book::Entry e;
   e.id = id;
@@ -173,7 +176,7 @@
   const auto it = image.answers().find(id);
   if (it == image.answers().end()) return e;
   const auto& a = it->second.is;
-  e.what = !keeper.may_be_told(it->second.first)            ? What::held
+  e.what = !coordinator.may_be_told(it->second.first)       ? What::held
            : a.verdict == journal::record::Verdict::served  ? What::served
            : a.verdict == journal::record::Verdict::refused ? What::refused
                                                             : What::failed;
@@ -194,11 +197,11 @@
   if (!id) return {};
   Entry e = entry_of(journal_->keeper(), *id);
   const auto held = image.held().find(*id);
-  const auto print =
+  const auto fingerprint =
       held != image.held().end()
           ? journal::fingerprint(destination, held->second.now.message_class, *held->second.now.message)
           : image.answers().at(*id).is.fingerprint;
-  if (print != journal::fingerprint(destination, message_class, message)) e.what = Entry::What::another;
+  if (fingerprint != journal::fingerprint(destination, message_class, message)) e.what = Entry::What::another;
   return e;
 }
 
--- a/src/node/journal.hpp
+++ b/src/node/journal.hpp
@@ -1,5 +1,5 @@
-// The journal of one relay: folder, writer's thread and keeper put together, what was there taken over, and
-// its state made known.
+// The write-ahead journal of one relay: puts together the journal folder, the writer thread and the
+// coordinator, restores what an earlier run left, and reports the journal's state.
 #pragma once
 
 #include <functional>
@@ -21,39 +21,39 @@
 class Journal {
  public:
   using Log = std::function<void(const std::string&)>;
-  // Locks the folder and reads all that is there. Throws std::runtime_error naming folder, place and cause
-  // where it belongs to another process, is damaged or of a later version.
+  // Locks the folder and reads all records in it. Throws std::runtime_error naming the folder, the position
+  // and the cause if the folder is in use by another process, is damaged or was written by a later version.
   Journal(loop::Loop& loop, const config::RelaySettings& settings, Log log);
   ~Journal();
 
-  struct Ends {  // what the keeper stands between
+  struct Ends {  // what the coordinator connects the core to
     relay::Transport& transport;
     relay::Answers& answers;
-    std::function<std::string(DestinationId)> destination;
-    std::function<void(relay::CallId, relay::Ending)> unsent;
+    std::function<std::string(DestinationId)> destination;     // the destination's name
+    std::function<void(relay::CallId, relay::Ending)> unsent;  // a send that was held back is never made
   };
-  // To be called once; the keeper lives as long as the journal.
-  journal::Keeper& connect(Ends ends);
-  struct Heirs {
-    // Who gets the answer of a message that is still held.
+  // Creates the coordinator, which lives as long as the journal. To be called once.
+  journal::Keeper& connect(Ends ports);
+  struct Heirs {  // handlers for what an earlier run left
+    // Returns the receiver of the answer of a message that is still held.
     std::function<relay::Answers&(MessageId, const std::string& owner)> held;
-    // Of one that has its answer, and an owner to be told of it.
+    // A message that has its answer, and an owner who has to be informed of it.
     std::function<void(const journal::record::Answered&)> answered;
   };
-  // Hands what an earlier run left to a desk that has its list.
+  // Restores the messages and endpoint states that an earlier run left. The relay must have its partner list.
   void recover(relay::Desk& desk, relay::PartnerBook& book, const Heirs& heirs);
 
   journal::Keeper& keeper() { return *keeper_; }
   const journal::Keeper& keeper() const { return *keeper_; }
   const store::Writer& writer() const { return *writer_; }
-  // Whether more may be taken on, and why not.
+  // Why no further message may be accepted now; null if one may.
   const char* turns_away() const;
-  // All that was written is durable, and nothing waits.
+  // All that was written is durable, and nothing waits for a record.
   bool settled() const { return keeper_->settled(); }
 
  private:
-  void changed();
-  void tidy();
+  void changed();  // the writer's durable position or state has changed
+  void tidy();     // one step of the coordinator's periodic maintenance
 
   loop::Loop& loop_;
   const config::RelaySettings& settings_;
@@ -63,11 +63,11 @@
   std::size_t records_ = 0;
   std::unique_ptr<store::Writer> writer_;
   std::unique_ptr<journal::Keeper> keeper_;
-  store::Writer::State told_ = store::Writer::State::well;
+  store::Writer::State told_ = store::Writer::State::well;  // last state that was logged
   loop::TimerId tidy_timer_ = 0;
 };
 
-// The journal as a front asks it.
+// Answers a protocol server's queries about accepted messages from the journal.
 class JournalBook final : public relay::Book {
  public:
   explicit JournalBook(const std::unique_ptr<Journal>& journal) : journal_(journal) {}
--- a/src/node/list_file.cpp
+++ b/src/node/list_file.cpp
@@ -27,7 +27,7 @@
     host_.list(list, false);
     keep(list);
   } catch (const std::exception& e) {
-    // A relay that starts while the list is out of reach goes by the last one that it kept.
+    // A relay that starts while the list cannot be read uses the list in its cache file.
     if (settings_.partners_cache.empty()) throw;
     std::string why = e.what();
     host_.list(config::parse_partners(settings_.partners_cache, config::read_file(settings_.partners_cache),
@@ -44,20 +44,20 @@
   timer_ = loop_.after(settings_.partners_reread, [this] { tick(); });
 }
 
-void ListFile::look(bool even_if_same) {
+void ListFile::look(bool force) {
   const std::string& file = settings_.partners_file;
   const Stamp before = stamp_of(file);
-  if (!even_if_same && before == seen_ && complaint_.empty()) return;
+  if (!force && before == seen_ && complaint_.empty()) return;
   try {
     if (before == Stamp{}) throw std::runtime_error(file + ": is not there");
     const std::string text = config::read_file(file);
-    // A file that changes while it is read is read again at the next look.
+    // A file that changes while it is read is read again at the next check.
     if (!(stamp_of(file) == before)) throw std::runtime_error(file + ": changed while it was read");
     const auto list = config::parse_partners(file, text, settings_.names);
-    const bool back = !complaint_.empty();
+    const bool recovered = !complaint_.empty();
     complaint_.clear();
     seen_ = before;
-    if (back) host_.log("partner list: readable again");
+    if (recovered) host_.log("partner list: readable again");
     host_.list(list, false);
     keep(list);
   } catch (const std::exception& e) {
@@ -76,7 +76,7 @@
   if (on) loop_.defer([this] { look(true); });
 }
 
-// Kept by rename, so that a crash leaves either the old or the new one.
+// Replaces the cache file by a rename, so that a crash leaves either the old or the new one.
 void ListFile::keep(const config::PartnerList& list) {
   if (settings_.partners_cache.empty()) return;
   const std::string next = settings_.partners_cache + ".next";
--- a/src/node/list_file.hpp
+++ b/src/node/list_file.hpp
@@ -1,5 +1,5 @@
-// The partner list as a file that is read again when it changes. An unreadable or half-written list leaves
-// the old one in place and says so.
+// Reads the partner list from a file, and again whenever the file changes. If the new list is unreadable or
+// incomplete, the previous one stays in use and the problem is logged.
 #pragma once
 
 #include <functional>
@@ -14,36 +14,38 @@
 class ListFile final : public relay::ListSource {
  public:
   struct Host {
+    // A list was read; cached: from the cache file.
     std::function<void(const config::PartnerList&, bool cached)> list;
-    std::function<void()> failed;
+    std::function<void()> failed;  // the list could not be read
     std::function<void(const std::string&)> log;
   };
   ListFile(loop::Loop& loop, const config::RelaySettings& settings, Host host);
   ~ListFile() override;
 
-  // Reads for the first time; falls back to the cache. Throws ConfigError where neither can be read.
+  // Reads the list for the first time, from the cache file if need be. Throws an exception if neither can be
+  // read.
   void start();
   void fetch() override;
   void subscribe(bool on) override;
-  // Reads now if the file has changed.
-  void look(bool even_if_same);
+  // Reads the file now if it has changed or the last read failed, and in any case with `force`.
+  void look(bool force);
 
  private:
-  struct Stamp {
+  struct Stamp {  // identifies a version of the file
     long long seconds = -1, nanos = 0, size = 0;
     unsigned long long inode = 0;
     bool operator==(const Stamp&) const = default;
   };
   static Stamp stamp_of(const std::string& file);
-  void tick();
-  void keep(const config::PartnerList& list);
+  void tick();                                 // on the timer: reads the file if it has changed
+  void keep(const config::PartnerList& list);  // writes the cache file
 
   loop::Loop& loop_;
   const config::RelaySettings& settings_;
   Host host_;
-  Stamp seen_;
-  std::string complaint_;  // said last; not again while it stays the same
-  bool following_;
+  Stamp seen_;             // of the list in use
+  std::string complaint_;  // the last problem logged; not logged again while it stays the same
+  bool following_;         // checks the file for changes on the timer
   loop::TimerId timer_ = 0;
 };
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -13,17 +13,17 @@
            const Heir& heir)
     : loop_(loop), settings_(std::move(settings)), log_(std::move(log)) {
   core_log_.sink = log_;
-  // First of all: a folder that can't be had, or can't be read, leaves no other trace of a start.
+  // First of all, so that a start that fails because the folder cannot be locked or read has no other effect.
   if (settings_.journal)
     journal_ = std::make_unique<Journal>(loop_, settings_,
                                          [this](const std::string& text) { log_("journal", text); });
-  trace::Recorder::Sink story;
+  trace::Recorder::Sink trace_sink;
   if (!settings_.trace_file.empty()) {
     trace_file_ = std::make_unique<trace::File>(
         trace::File::Options{.file = settings_.trace_file,
                              .bytes = static_cast<std::size_t>(settings_.trace_file_bytes),
                              .files = static_cast<std::size_t>(settings_.trace_files)});
-    story = [this](trace::Story&& s) { keep(std::move(s)); };
+    trace_sink = [this](trace::Story&& s) { keep(std::move(s)); };
   }
   list_ = std::make_unique<ListFile>(
       loop_, settings_,
@@ -49,8 +49,8 @@
         gateway::Front::Host{
             .destination = [this](const std::string& name) { return book_.destination(name); },
             .take =
-                [this](relay::NewMessage message, const std::function<void(MessageId)>& named) {
-                  return take(std::move(message), *front_, named);
+                [this](relay::NewMessage message, const std::function<void(MessageId)>& on_id) {
+                  return take(std::move(message), *front_, on_id);
                 },
             .withdraw = [this](MessageId id) { withdraw(id); },
             .streams = [this] { return desk_->door().streams(); },
@@ -61,8 +61,8 @@
         loop_, settings_,
         sms::Front::Host{.destination = [this](const std::string& name) { return book_.destination(name); },
                          .take =
-                             [this](relay::NewMessage message, const std::function<void(MessageId)>& named) {
-                               return take(std::move(message), *smpp_, named);
+                             [this](relay::NewMessage message, const std::function<void(MessageId)>& on_id) {
+                               return take(std::move(message), *smpp_, on_id);
                              },
                          .withdraw = [this](MessageId id) { withdraw(id); },
                          .open = [this] { return desk_->door().streams(); },
@@ -93,18 +93,18 @@
   std::function<relay::Desk::Ports::Between(relay::Answers&)> between;
   if (journal_)
     between = [this](relay::Answers& answers) -> relay::Desk::Ports::Between {
-      auto& keeper =
+      auto& coordinator =
           journal_->connect({*back_, answers, [this](DestinationId id) { return book_.name_of(id); },
                              [this, alive = alive_](relay::CallId id, relay::Ending ending) {
                                if (!*alive) return;
                                desk_->core().call_ended(loop_.now(), id, std::move(ending));
                                poke();
                              }});
-      return {keeper, keeper, keeper};
+      return {coordinator, coordinator, coordinator};
     };
   desk_ = std::make_unique<relay::Desk>(
       settings_, decider(settings_.dispatcher, settings_.seed),
-      relay::Desk::Ports{*back_, *list_, *notes_, core_log_, std::move(story), std::move(between)});
+      relay::Desk::Ports{*back_, *list_, *notes_, core_log_, std::move(trace_sink), std::move(between)});
   list_->start();
   if (journal_) {
     journal_->recover(*desk_, book_,
@@ -154,41 +154,42 @@
   trace_file_->write(s);
 }
 
-// What was written shows within a second; what was lost is told once for all that came in ten.
+// Written traces are visible in the file within a second. Lost traces are logged every ten seconds, in one
+// line for each cause.
 void Node::look_at_trace() {
   trace_file_->flush();
-  const auto tell = [this](std::uint64_t now, std::uint64_t& told, const std::string& why) {
-    if (now > told) log_("trace", std::to_string(now - told) + " stories lost: " + why);
-    told = now;
+  const auto log_lost = [this](std::uint64_t now, std::uint64_t& logged, const std::string& why) {
+    if (now > logged) log_("trace", std::to_string(now - logged) + " stories lost: " + why);
+    logged = now;
   };
   if (trace_looks_++ % 10 == 0) {
     const auto& counts = desk_->stories()->counts();
-    tell(counts.shed, trace_told_.shed, "trace.memory is full");
-    tell(counts.dropped, trace_told_.dropped, "more than trace.rate");
-    tell(trace_file_->lost(), trace_told_.slow, "the disk is too slow");
-    tell(trace_file_->errors(), trace_told_.errors, trace_file_->last_error());
+    log_lost(counts.shed, trace_told_.shed, "trace.memory is full");
+    log_lost(counts.dropped, trace_told_.dropped, "more than trace.rate");
+    log_lost(trace_file_->lost(), trace_told_.slow, "the disk is too slow");
+    log_lost(trace_file_->errors(), trace_told_.errors, trace_file_->last_error());
   }
   trace_timer_ = loop_.after(1'000'000, [this] { look_at_trace(); });
 }
 
 relay::Entry Node::take(relay::NewMessage message, relay::Answers& to,
-                        const std::function<void(MessageId)>& named) {
+                        const std::function<void(MessageId)>& on_id) {
   const std::string& destination = book_.name_of(message.destination);
   if (const auto* smpp = smpp_of(book_.kind_of(message.destination))) {
     const auto cls = static_cast<std::size_t>(message.message_class);
     if (const char* why = sms::unfit(*smpp, message, settings_.dispatcher.classes[cls].effect)) {
-      named(0);
+      on_id(0);
       return {relay::Core::Taken::unfit, why};
     }
   }
   if (journal_)
     if (const char* why = journal_->turns_away()) {
       desk_->core().turned_away();
-      named(0);
+      on_id(0);
       return {relay::Core::Taken::full, why};
     }
   poke();
-  return desk_->take(loop_.now(), std::move(message), destination, to, named);
+  return desk_->take(loop_.now(), std::move(message), destination, to, on_id);
 }
 
 void Node::withdraw(MessageId id) {
@@ -223,7 +224,7 @@
 void Node::poke() {
   if (poked_) return;
   poked_ = true;
-  // At the turn's end, so that all that one turn of the loop brought makes one round.
+  // At the end of the turn, so that all events of one turn of the loop are handled in one round.
   loop_.defer([this, alive = alive_] {
     if (!*alive) return;
     poked_ = false;
@@ -234,7 +235,7 @@
 void Node::turn() {
   const Time begun = loop_.now();
   desk_->core().turn(loop_.refresh());
-  // How long what came in this turn of the loop had to wait for its work.
+  // Reports to admission control how long the events of this turn of the loop had to wait.
   const Time now = loop_.refresh();
   desk_->door().late(now, now - begun);
   rearm();
@@ -242,7 +243,7 @@
 
 void Node::rearm() {
   const Time due = desk_->core().next_due();
-  if (timer_ != 0 && timer_at_ <= due) return;  // it fires in time, and then looks again
+  if (timer_ != 0 && timer_at_ <= due) return;  // it fires early enough, and sets the next one then
   loop_.cancel(timer_), timer_ = 0;
   if (due == std::numeric_limits<Time>::max()) return;
   timer_at_ = due;
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,5 +1,6 @@
-// One delivery engine on a loop: settings in, messages delivered; with an HTTP/2 front where `serve` is set.
-// cedarplank::delivery puts threads around it.
+// One relay on an event loop: puts together the core, the endpoint driver, the partner list, the journal and,
+// if `serve` is set, the servers for HTTP/2 and SMPP clients. Single-threaded; cedarplank::delivery adds
+// threads.
 #pragma once
 
 #include <functional>
@@ -22,26 +23,30 @@
   using DeciderMaker = std::function<std::unique_ptr<relay::Decider>(const Settings&, std::uint64_t seed)>;
   using LogSink = std::function<void(const char* event, const std::string& text)>;
 
-  // Whoever else than the fronts has messages of an earlier run in the journal. Asked while the node starts.
+  // An owner, besides the servers, of messages that an earlier run left in the journal. Called while the node
+  // starts.
   struct Heir {
-    std::function<relay::Answers*(MessageId, const std::string& owner)> held;  // null: not its own
-    std::function<void(const journal::record::Answered&)> answered;
+    // Returns the receiver of a held message's answer; null: the message belongs to another owner.
+    std::function<relay::Answers*(MessageId, const std::string& owner)> held;
+    std::function<void(const journal::record::Answered&)> answered;  // the message has its answer
   };
-  // Throws ConfigError or std::system_error where it can't start.
+  // Throws ConfigError, std::system_error or std::runtime_error if it cannot start.
   Node(loop::Loop& loop, config::RelaySettings settings, LogSink log,
        DeciderMaker decider = relay::make_dispatcher, bool serve = true, const Heir& heir = {});
   ~Node();
 
+  // The addresses on which the HTTP/2 and the SMPP server listen; empty if there is none.
   std::string address() const { return front_ ? front_->address() : ""; }
   std::string smpp_address() const { return smpp_ ? smpp_->address() : ""; }
 
-  // A message from elsewhere than the front. `named` is told its id before any answer can come to `to`.
-  // Turned away by the door where the relay is short of buffer, memory or time: never taken, so harmless to
-  // repeat.
+  // Submits a message, whose answer goes to `to`. `on_id` receives the message's id, or 0 if the node
+  // rejects it at once, before any answer can come. Admission control rejects the message if the relay is
+  // short of buffer, memory or time; a rejected message was never accepted, so it is harmless to repeat.
   relay::Entry take(relay::NewMessage message, relay::Answers& to,
-                    const std::function<void(MessageId)>& named);
+                    const std::function<void(MessageId)>& on_id);
+  // Cancelled by its client: no answer is given.
   void withdraw(MessageId id);
-  // Its answer, kept in the journal, has reached whom it is for.
+  // The message's answer, which the journal keeps, has reached its receiver.
   void handed_over(MessageId id) {
     if (journal_) journal_->keeper().handed_over(id);
   }
@@ -49,12 +54,13 @@
   const std::string& name_of(DestinationId id) const { return book_.name_of(id); }
   // Gives every held message its final answer now.
   void end_all();
+  // Accepts no further messages.
   void stop_taking();
-  // Takes over what may change in service: see config::reload_plan().
+  // Takes over the settings that may change while the relay runs: see engine::reload_refusals().
   void apply(const config::RelaySettings& settings);
   const config::RelaySettings& settings() const { return settings_; }
 
-  // Nothing is held and every client's answer is written.
+  // No message is held, and every client's answer is written.
   bool drained() const {
     return core().held() == 0 && (!journal_ || journal_->settled()) && (!front_ || front_->drained()) &&
            (!smpp_ || smpp_->drained());
@@ -62,18 +68,20 @@
 
   const relay::Core& core() const { return desk_->core(); }
   const admission::Door& door() const { return desk_->door(); }
-  const Journal* journal() const { return journal_.get(); }  // null: none is kept
+  const Journal* journal() const { return journal_.get(); }  // null: the settings have none
+  // Connections to endpoints, since the start.
   std::uint64_t connections_opened() const { return back_->opened(); }
 
  private:
-  const config::SmppBack* smpp_of(int kind) const;  // null: HTTP/2
-  // The one place where a partner's protocol is chosen, by its kind.
+  // SMPP settings for endpoints of that kind; null: the kind uses HTTP/2.
+  const config::SmppBack* smpp_of(int kind) const;
+  // The only place where a partner's protocol is chosen, by its kind.
   std::unique_ptr<back::Link> connect(const config::PartnerEndpoint& endpoint, pool::LinkId link);
-  void keep(trace::Story&& story);
-  void look_at_trace();
-  void poke();  // what is due now or later gets its turn
-  void turn();
-  void rearm();
+  void keep(trace::Story&& story);  // writes a message trace to the trace file
+  void look_at_trace();             // each second: flushes the trace file, logs lost traces
+  void poke();                      // schedules a turn of the core for the end of the loop's turn
+  void turn();                      // lets the core do what is due
+  void rearm();                     // sets the timer for the core's next due time
 
   struct CoreLog final : relay::Log {
     LogSink sink;
@@ -85,14 +93,16 @@
   LogSink log_;
   CoreLog core_log_;
   relay::PartnerBook book_;
-  std::unique_ptr<trace::File> trace_file_;  // where stories are kept
+  std::unique_ptr<trace::File> trace_file_;  // null: no traces are written
   struct {
     std::uint64_t shed = 0, dropped = 0, slow = 0, errors = 0;
-  } trace_told_;  // stories lost, as last told
+  } trace_told_;  // numbers of lost traces at the last log line
   std::uint64_t trace_looks_ = 0;
   loop::TimerId trace_timer_ = 0;
-  std::unique_ptr<Journal> journal_;      // null: none is kept
-  struct Nobody final : relay::Answers {  // of messages that an earlier run took: their answers are kept
+  std::unique_ptr<Journal> journal_;  // null: the settings have none
+  // Receives answers to messages that an earlier run accepted and no server or owner waits for: the journal
+  // keeps them.
+  struct Nobody final : relay::Answers {
     void served(MessageId, const relay::Ending&) override {}
     void refused(MessageId, Time, const relay::Account&) override {}
     void failed(MessageId, const relay::Account&) override {}
--- a/src/node/peer_notes.cpp
+++ b/src/node/peer_notes.cpp
@@ -4,7 +4,7 @@
 
 namespace cedarplank::node {
 namespace {
-constexpr std::string_view kMark = "cpn1";
+constexpr std::string_view kMagic = "cpn1";
 }
 
 PeerNotes::PeerNotes(loop::Loop& loop, const config::RelaySettings& settings, Received received)
@@ -15,16 +15,16 @@
   datagrams_ = std::make_unique<net::Datagrams>(
       loop, net::Address::parse(settings.notes_listen),
       [this, received = std::move(received)](std::string_view bytes, const net::Address&) {
-        if (bytes.size() < 8 || bytes.size() > 8 + kMostBody || bytes.substr(0, 4) != kMark) return;
+        if (bytes.size() < 8 || bytes.size() > 8 + kMostBody || bytes.substr(0, 4) != kMagic) return;
         const auto from = static_cast<int>(http2::read_u32(bytes, 4));
-        if (peers_.count(from) == 0) return;  // nobody that the settings name
+        if (peers_.count(from) == 0) return;  // not a peer listed in the settings
         received(from, std::string(bytes.substr(8)));
       });
 }
 
 void PeerNotes::tell(int whom, const std::string& body) {
   if (!datagrams_ || body.size() > kMostBody) return;
-  std::string bytes(kMark);
+  std::string bytes(kMagic);
   http2::put_u32(static_cast<std::uint32_t>(rank_), bytes);
   bytes += body;
   for (const auto& [rank, address] : peers_)
--- a/src/node/peer_notes.hpp
+++ b/src/node/peer_notes.hpp
@@ -1,5 +1,5 @@
-// Notes between relays as datagrams: "cpn1", the sender's rank in four bytes, then the module's bytes. They
-// may be lost, doubled or late; no rule rests on them.
+// Sends the dispatcher's notes between relays as datagrams: "cpn1", the sender's rank in four bytes, then the
+// note itself. Datagrams may be lost, duplicated or late; none of the six rules depends on them.
 #pragma once
 
 #include <map>
@@ -15,14 +15,16 @@
  public:
   using Received = std::function<void(int from, std::string body)>;
   PeerNotes(loop::Loop& loop, const config::RelaySettings& settings, Received received);
+  // Sends the note to the relay of that rank, or to all peers if `whom` is negative. Notes above the size
+  // limit are dropped.
   void tell(int whom, const std::string& body) override;
   std::string address() const { return datagrams_ ? datagrams_->address().text() : ""; }
 
  private:
-  static constexpr std::size_t kMostBody = 256;
+  static constexpr std::size_t kMostBody = 256;  // bytes
   int rank_;
-  std::map<int, net::Address> peers_;
-  std::unique_ptr<net::Datagrams> datagrams_;
+  std::map<int, net::Address> peers_;          // by rank, without this relay
+  std::unique_ptr<net::Datagrams> datagrams_;  // null: no address to listen on is set
 };
 
 }  // namespace cedarplank::node
