--- a/src/engine/c_api.cpp
+++ b/src/engine/c_api.cpp
@@ -1,4 +1,4 @@
-// The C interface. Nothing is thrown past it.
+// The C interface, built on the C++ interface. No exception leaves it.
 #include <algorithm>
 #include <cstring>
 
@@ -13,12 +13,14 @@
 
 using namespace cedarplank::delivery;
 
-void tell(const std::string& text, char* out, std::size_t size) {
+// Copies the text to a buffer of the caller, cut off to fit and terminated by a zero.
+void copy_text(const std::string& text, char* out, std::size_t size) {
   if (out == nullptr || size == 0) return;
   const std::size_t n = std::min(text.size(), size - 1);
   std::memcpy(out, text.data(), n);
   out[n] = 0;
 }
+// The text of a C string; empty for a null pointer.
 std::string text(const char* s) { return s == nullptr ? "" : s; }
 
 }  // namespace
@@ -32,9 +34,9 @@
     auto engine = Engine::open(text(settings_file));
     return new cp_engine{std::move(engine)};
   } catch (const std::exception& e) {
-    tell(e.what(), error, error_size);
+    copy_text(e.what(), error, error_size);
   } catch (...) {
-    tell("unknown failure", error, error_size);
+    copy_text("unknown failure", error, error_size);
   }
   return nullptr;
 }
@@ -42,7 +44,7 @@
 int cp_submit(cp_engine* engine, const cp_message* m, uint64_t* ticket, char* error, size_t error_size) {
   if (engine == nullptr || m == nullptr || m->size < sizeof(cp_message) ||
       (m->body == nullptr && m->body_size > 0)) {
-    tell("engine or message is missing, or of another size", error, error_size);
+    copy_text("engine or message is missing, or of another size", error, error_size);
     return CP_INVALID;
   }
   try {
@@ -55,10 +57,10 @@
     message.time_to_live = m->time_to_live;
     const auto s = engine->engine->submit(std::move(message));
     if (ticket != nullptr) *ticket = s.ticket;
-    tell(s.error, error, error_size);
+    copy_text(s.error, error, error_size);
     return static_cast<int>(s.status);
   } catch (const std::exception& e) {  // out of memory
-    tell(e.what(), error, error_size);
+    copy_text(e.what(), error, error_size);
     return CP_INVALID;
   }
 }
@@ -71,14 +73,14 @@
   if (engine == nullptr || answers == nullptr || most == 0 || answers[0].size < sizeof(cp_answer)) return 0;
   std::vector<Answer> got;
   const std::size_t n = engine->engine->poll(got, most);
-  // The caller's structures may be larger than ours.
+  // The caller's structures may be larger than this version's, so their stated size is the stride.
   const std::size_t stride = answers[0].size;
   auto* at = reinterpret_cast<char*>(answers);
   for (const auto& a : got) {
     auto* out = reinterpret_cast<cp_answer*>(at);
     out->ticket = a.ticket, out->final = static_cast<int>(a.final), out->attempts = a.attempts,
     out->come_back = a.come_back;
-    tell(a.detail, out->detail, sizeof out->detail);
+    copy_text(a.detail, out->detail, sizeof out->detail);
     at += stride;
   }
   return n;
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -1,9 +1,9 @@
 // cedarplank::delivery::Engine: threads and queues around one node::Node.
 //
-// Three kinds of thread: hosts' threads submit into a lock-free queue; the loop thread alone touches the
-// node; the answer thread runs callbacks, so that one that blocks holds no delivery up. With Threading::host
-// run_once() does the work of the last two. Impl outlives the Engine while a thread still uses it
-// (destruction inside a callback).
+// There are three kinds of thread. The host program's threads submit commands through a lock-free queue. Only
+// the loop thread uses the node. The answer thread runs callbacks, so that a callback that blocks does not
+// delay deliveries. With Threading::host, run_once() does the work of the last two. Impl outlives the Engine
+// while a thread still uses it, which happens when the Engine is destroyed inside a callback.
 #include <concurrentqueue/blockingconcurrentqueue.h>
 #include <concurrentqueue/concurrentqueue.h>
 #include <fcntl.h>
@@ -24,11 +24,13 @@
 namespace cedarplank::delivery {
 namespace {
 
-constexpr std::size_t kBatch =
-    1024;  // submissions taken in one turn, so that the loop's other work is not starved
-constexpr Time kCloseWithin = 2'000'000;
+// Commands processed in one turn of the loop, so that the loop's other work is not starved.
+constexpr std::size_t kCommandsPerTurn = 1024;
+// While stopping: how long to wait until the servers have written their clients' answers.
+constexpr Time kWriteAnswersTimeout = 2'000'000;
 
-struct Order {  // from a host's thread to the loop's
+// From a thread of the host program to the loop thread.
+struct Command {
   enum class Kind { submit, withdraw, call } kind = Kind::submit;
   Ticket ticket = 0;
   relay::NewMessage message;
@@ -36,21 +38,24 @@
   Callback callback;
   std::function<void()> call;
 };
-struct Done {
+// An answer for the answer thread.
+struct CallbackAnswer {
   Answer answer;
   Callback callback;
-  MessageId journaled = 0;  // kept until it is handed over; 0: not kept
+  MessageId journaled = 0;  // the journal keeps the answer until it is delivered; 0: it does not keep it
 };
-struct Completed {
+// An answer in the completion queue.
+struct QueuedAnswer {
   Answer answer;
   MessageId journaled = 0;
 };
 
-// A message's ticket, as its journal keeps it.
-constexpr std::string_view kOwner = "ticket:";
-std::string owner_of(Ticket ticket) { return std::string(kOwner) + std::to_string(ticket); }
-Ticket ticket_of(const std::string& owner) {  // 0: another's
-  return owner.rfind(kOwner, 0) == 0 ? std::strtoull(owner.c_str() + kOwner.size(), nullptr, 10) : 0;
+// The owner of a message in the journal: "ticket:" and the number.
+constexpr std::string_view kOwnerPrefix = "ticket:";
+std::string owner_of(Ticket ticket) { return std::string(kOwnerPrefix) + std::to_string(ticket); }
+Ticket ticket_of(const std::string& owner) {  // 0: not a ticket
+  return owner.rfind(kOwnerPrefix, 0) == 0 ? std::strtoull(owner.c_str() + kOwnerPrefix.size(), nullptr, 10)
+                                           : 0;
 }
 
 }  // namespace
@@ -63,7 +68,8 @@
         intake(settings),
         pid(getpid()) {
     if (options.held_max == 0) options.held_max = static_cast<std::size_t>(settings.dispatcher.open_max);
-    // The buffer's cap is kept where messages are submitted: what is taken there must not meet a full core.
+    // The limit of the buffer is enforced at submission, so that an accepted message does not find the core
+    // full.
     int fds[2];
     if (pipe2(fds, O_NONBLOCK | O_CLOEXEC) != 0)
       throw std::system_error(errno, std::generic_category(), "completion descriptor");
@@ -79,24 +85,29 @@
   // ---- Shared between threads. ----
   std::atomic<State> state{State::opening};
   std::atomic<Ticket> next_ticket{1};
+  // Messages submitted whose answers are not delivered yet; answers in the completion queue; calls of
+  // submit() in progress.
   std::atomic<std::size_t> held{0}, unread{0}, submitting{0};
+  // A wake-up is posted to the loop; the completion descriptor is readable.
   std::atomic<bool> woken{false}, ready_marked{false};
-  moodycamel::ConcurrentQueue<Order> orders;
-  moodycamel::ConcurrentQueue<Completed> completions;
-  moodycamel::ConcurrentQueue<MessageId> handed;  // answers that need not be kept any longer
-  moodycamel::BlockingConcurrentQueue<std::optional<Done>> callbacks;  // nothing: the answer thread ends
+  moodycamel::ConcurrentQueue<Command> orders;
+  moodycamel::ConcurrentQueue<QueuedAnswer> completions;
+  moodycamel::ConcurrentQueue<MessageId>
+      handed;  // delivered answers, which the journal need not keep any longer
+  moodycamel::BlockingConcurrentQueue<std::optional<CallbackAnswer>>
+      callbacks;  // nullopt: the answer thread ends
   net::Fd ready_read, ready_write;
-  std::atomic<std::uint64_t> submitted{0}, tallies[5]{}, callback_errors{0};
+  std::atomic<std::uint64_t> submitted{0}, tallies[5]{}, callback_errors{0};  // tallies: by Final
   std::mutex mutex;
-  std::condition_variable changed;  // state, and room for submissions
+  std::condition_variable changed;  // the state, or the capacity for submissions
   std::atomic<int> waiting_for_room{0};
   std::thread loop_thread, answer_thread;
-  std::string bound, bound_smpp;
+  std::string bound, bound_smpp;  // addresses on which the servers listen
 
-  // ---- The loop thread's. ----
+  // ---- Used by the loop thread only. ----
   loop::Loop loop;
   std::unique_ptr<node::Node> node;
-  struct Pending {
+  struct Pending {  // a message that has no answer yet
     Ticket ticket = 0;
     Callback callback;
     Time since = 0;
@@ -105,22 +116,24 @@
   };
   std::unordered_map<MessageId, Pending> pending;
   std::map<Ticket, MessageId> by_ticket;
-  std::vector<Ticket> withdrawals;  // asked for, to be done when the queue is empty
+  std::vector<Ticket> withdrawals;  // requested, processed when the command queue is empty
   loop::TimerId deadline_timer = 0;
   Time deadline = 0;
-  std::uint64_t undelivered = 0;  // answers for the answer thread that it has not finished, see `finished`
-  std::atomic<std::uint64_t> finished{0};
+  std::uint64_t undelivered = 0;           // answers passed to the answer thread, since the start
+  std::atomic<std::uint64_t> finished{0};  // of these, the ones whose callbacks have returned
   bool closed = false;
-  std::uint64_t inside =
-      0;  // Threading::host: callbacks that run now; one of them may be what stops the engine
+  // Threading::host: callbacks that are running now. They are left out of the wait for callbacks to finish,
+  // since one of them may be what stops the engine.
+  std::uint64_t inside = 0;
 
+  // Whether this is a forked child of the process that opened the engine.
   bool forked() const { return getpid() != pid; }
 
   void log(const char* event, const std::string& text) {
     if (options.log) options.log(event, text);
   }
 
-  // Wake-ups are coalesced: one post until the loop has looked.
+  // Wake-ups are coalesced: at most one is posted until the loop has processed it.
   void wake() {
     if (woken.exchange(true)) return;
     loop.post([self = weak_from_this()] {
@@ -138,14 +151,14 @@
     bound = node->address(), bound_smpp = node->smpp_address();
     apply(engine::Input::opened);
     if (options.threading == Options::Threading::host) return;
-    // The threads share the ownership: an Engine destroyed inside a callback leaves them to end by
-    // themselves.
+    // The threads share ownership of Impl: when an Engine is destroyed inside a callback, they end on their
+    // own.
     loop_thread = std::thread([self = shared_from_this()] {
       while (!self->closed) self->loop.run_once(-1);
       self->node.reset();
     });
     answer_thread = std::thread([self = shared_from_this()] {
-      std::optional<Done> done;
+      std::optional<CallbackAnswer> done;
       for (;;) {
         self->callbacks.wait_dequeue(done);
         if (!done) return;
@@ -156,7 +169,7 @@
     });
   }
 
-  void run_callback(Done& done) {
+  void run_callback(CallbackAnswer& done) {
     try {
       done.callback(done.answer);
     } catch (const std::exception& e) {
@@ -166,11 +179,11 @@
       callback_errors++;
       log("callback", "threw something that is no exception");
     }
-    done.callback = nullptr;  // what it holds goes on this thread
+    done.callback = nullptr;  // what it captured is destroyed on this thread
     release();
     hand_over(done.journaled);
   }
-  // From any thread.
+  // The answer was delivered, so the journal need not keep it. May be called from any thread.
   void hand_over(MessageId journaled) {
     if (journaled == 0) return;
     handed.enqueue(journaled);
@@ -180,6 +193,7 @@
     for (MessageId id; handed.try_dequeue(id);) node->handed_over(id);
   }
 
+  // One message fewer counts against held_max.
   void release() {
     held--;
     if (waiting_for_room.load() == 0) return;
@@ -187,7 +201,7 @@
     changed.notify_all();
   }
 
-  // One step of the life cycle; on the loop's thread (or before it runs).
+  // One step of the life cycle. Called on the loop thread, or before it runs.
   void apply(engine::Input input) {
     const auto s = engine::step(state.load(), input);
     const bool moved = s.next != state.load();
@@ -197,7 +211,8 @@
     }
     if (moved) changed.notify_all();
     if (s.stop_taking && node) {
-      // What was taken before a drain goes on, also what is still on its way from the hosts' threads.
+      // Messages submitted before a drain are still delivered, including those that are still in the command
+      // queue.
       if (s.next == State::draining) settle_orders();
       node->stop_taking();
     }
@@ -205,6 +220,7 @@
     if (s.close) close();
   }
 
+  // Sets the drain deadline, unless an earlier one is set.
   void arm(Time within) {
     const Time at = loop.refresh() + std::max<Time>(0, within);
     if (deadline_timer != 0 && deadline <= at) return;
@@ -222,11 +238,11 @@
     loop.defer([this] { look_for_end(0); });
   }
 
-  // While stopping: until the last answer is handed over and, where clients are served, written.
+  // While stopping: repeats until all callbacks have returned and the servers have written their answers.
   void look_for_end(Time waited) {
     if (state.load() != State::stopping) return;
     const bool all_handed = finished.load() + inside == undelivered;
-    const bool written = waited > kCloseWithin || node->drained();
+    const bool written = waited > kWriteAnswersTimeout || node->drained();
     if (all_handed && written) return apply(engine::Input::all_answered);
     loop.after(2'000, [this, waited] { look_for_end(waited + 2'000); });
   }
@@ -251,7 +267,8 @@
     deliver(std::move(answer), std::move(callback), settings.journal ? id : 0);
   }
 
-  // ---- What an earlier run took ----
+  // ---- Messages that an earlier run accepted ----
+  // One that is still held: its answer goes to this engine if its owner is a ticket.
   relay::Answers* take_over(MessageId id, const std::string& owner) {
     const Ticket ticket = ticket_of(owner);
     if (ticket == 0) return nullptr;
@@ -261,6 +278,7 @@
     by_ticket[ticket] = id;
     return this;
   }
+  // One that has its answer, which was not delivered before that run ended.
   void tell_again(const journal::record::Answered& a) {
     const Ticket ticket = ticket_of(a.owner);
     if (ticket == 0) return;
@@ -271,6 +289,7 @@
                                                                          : Final::failed;
     deliver({ticket, final, a.come_back, a.attempts, a.last}, options.recovered, a.id);
   }
+  // While draining: repeats until nothing is held.
   void idle_check() {
     if (state.load() == State::draining && submitting.load() == 0 && pending.empty() &&
         orders.size_approx() == 0 && node->drained())
@@ -282,13 +301,14 @@
     tallies[static_cast<int>(answer.final)]++;
     if (callback) {
       undelivered++;
-      callbacks.enqueue(Done{std::move(answer), std::move(callback), journaled});
+      callbacks.enqueue(CallbackAnswer{std::move(answer), std::move(callback), journaled});
       return;
     }
     unread++;
     completions.enqueue({std::move(answer), journaled});
     mark_ready();
   }
+  // Makes the completion descriptor readable.
   void mark_ready() {
     if (ready_marked.exchange(true)) return;
     const char byte = 'a';
@@ -298,99 +318,107 @@
   void served(MessageId id, const relay::Ending& e) override {
     answered(id, {0, Final::served, 0, 0, e.what});
   }
-  void refused(MessageId id, Time back, const relay::Account& a) override {
-    answered(id, {0, Final::refused, back, a.attempts, a.last});
+  void refused(MessageId id, Time come_back, const relay::Account& a) override {
+    answered(id, {0, Final::refused, come_back, a.attempts, a.last});
   }
   void failed(MessageId id, const relay::Account& a) override {
     answered(id, {0, Final::failed, 0, a.attempts, a.last});
   }
 
   void take_orders() {
-    woken.exchange(false);  // reads what was put in before the mark was set
+    // An exchange synchronizes with the threads that set the flag: what they queued before that is seen
+    // below.
+    woken.exchange(false);
     take_handed();
-    Order batch[64];
-    for (std::size_t n = 0, got = 0; n < kBatch; n += got) {
+    Command batch[64];
+    for (std::size_t n = 0, got = 0; n < kCommandsPerTurn; n += got) {
       got = orders.try_dequeue_bulk(batch, 64);
       if (got == 0) return take_withdrawals();
       for (std::size_t i = 0; i < got; i++) take_order(std::move(batch[i]));
     }
-    wake();  // more is there: after the loop's other work
+    wake();  // there may be more: continues after the loop's other work
   }
-  // After the state has changed no submission can begin; those half way in are waited for.
+  // Processes the whole command queue. To be called after the state has changed: no submission can begin
+  // then, and those in progress are waited for.
   void settle_orders() {
     while (submitting.load() != 0) std::this_thread::yield();
-    Order order;
-    while (orders.try_dequeue(order)) take_order(std::move(order));
+    Command command;
+    while (orders.try_dequeue(command)) take_order(std::move(command));
     take_withdrawals();
   }
-  // Only once the queue was empty: its producers are in no common order, so that a ticket's own submission
-  // may come out after another thread's withdrawal of it.
+  // Called only when the command queue was empty: the queue keeps no order between threads, so a ticket's
+  // submission may come out after another thread's withdrawal of it.
   void take_withdrawals() {
     const auto tickets = std::exchange(withdrawals, {});
     for (const Ticket ticket : tickets) {
       const auto it = by_ticket.find(ticket);
-      if (it == by_ticket.end()) continue;  // answered at that instant
+      if (it == by_ticket.end()) continue;  // already answered
       const MessageId id = it->second;
       node->withdraw(id);
       answered(id, {0, Final::withdrawn, 0, 0, ""});
     }
   }
-  void take_order(Order order) {
-    switch (order.kind) {
-      case Order::Kind::call:
-        // At the turn's end, never between the orders of one batch: a drain would refuse those behind it,
-        // which were submitted before it.
-        return loop.defer(std::move(order.call));
-      case Order::Kind::withdraw:
-        withdrawals.push_back(order.ticket);
+  void take_order(Command command) {
+    switch (command.kind) {
+      case Command::Kind::call:
+        // At the end of the turn, never between the commands of one batch: a drain would refuse the
+        // submissions behind it in the batch, although they were made before it.
+        return loop.defer(std::move(command.call));
+      case Command::Kind::withdraw:
+        withdrawals.push_back(command.ticket);
         return;
-      case Order::Kind::submit:
+      case Command::Kind::submit:
         break;
     }
     const auto reject = [&](Final final, std::string why) {
-      deliver({order.ticket, final, 0, 0, std::move(why)}, std::move(order.callback));
+      deliver({command.ticket, final, 0, 0, std::move(why)}, std::move(command.callback));
     };
-    const auto destination = node->destination(order.destination);
-    if (!destination) return reject(Final::rejected, "no destination is named '" + order.destination + "'");
-    order.message.destination = *destination;
-    if (settings.journal) order.message.owner = owner_of(order.ticket);
-    Pending p{order.ticket, std::move(order.callback), loop.now(), *destination, order.message.message_class};
+    const auto destination = node->destination(command.destination);
+    if (!destination) return reject(Final::rejected, "no destination is named '" + command.destination + "'");
+    command.message.destination = *destination;
+    if (settings.journal) command.message.owner = owner_of(command.ticket);
+    Pending p{command.ticket, std::move(command.callback), loop.now(), *destination,
+              command.message.message_class};
     MessageId id = 0;
-    const auto entry = node->take(std::move(order.message), *this, [&](MessageId named) {
-      id = named;
+    const auto entry = node->take(std::move(command.message), *this, [&](MessageId new_id) {
+      id = new_id;
       pending[id] = std::move(p);
-      by_ticket[order.ticket] = id;
+      by_ticket[command.ticket] = id;
     });
     if (entry.taken == relay::Core::Taken::unfit) return answered(id, {0, Final::rejected, 0, 0, entry.why});
-    // Never sent: harmless to try again. Stopping, or clients of the front have filled the buffer.
+    // Never sent, so it is harmless to try again. The engine is stopping, or clients of the servers have
+    // filled the buffer.
     if (entry.taken != relay::Core::Taken::yes) answered(id, {0, Final::refused, 0, 0, entry.why});
   }
 
-  // Runs on the loop's thread and waits for it; at once where the host's thread is the loop's.
+  // Runs the function on the loop thread and waits until it has returned. With Threading::host it runs at
+  // once.
   void on_loop(std::function<void()> f) {
     if (options.threading == Options::Threading::host) return f();
     const auto done = std::make_shared<std::promise<void>>();
     auto result = done->get_future();
-    Order order;
-    order.kind = Order::Kind::call;
-    order.call = [f = std::move(f), done] { f(), done->set_value(); };
-    orders.enqueue(std::move(order));
+    Command command;
+    command.kind = Command::Kind::call;
+    command.call = [f = std::move(f), done] { f(), done->set_value(); };
+    orders.enqueue(std::move(command));
     wake();
     while (result.wait_for(std::chrono::milliseconds(20)) != std::future_status::ready)
-      if (state.load() == State::stopped) return;  // nobody takes it any more
+      if (state.load() == State::stopped) return;  // the loop no longer runs
   }
+  // Runs the function on the loop thread, without waiting.
   void ask(std::function<void()> f) {
-    Order order;
-    order.kind = Order::Kind::call;
-    order.call = std::move(f);
-    orders.enqueue(std::move(order));
+    Command command;
+    command.kind = Command::Kind::call;
+    command.call = std::move(f);
+    orders.enqueue(std::move(command));
     wake();
   }
 
-  // Takes message and callback only where the answer is not would_block: then they are still the caller's.
+  // Leaves message and callback untouched if the result is would_block, so that the caller can try again.
   Submission submit(Message& m, Callback& callback) {
     if (forked()) return {Submitted::closed, 0, "this is a forked child of the engine's process"};
-    // Counted in before the state is read: settle_orders() waits for this count after the state has changed.
+    // Counted before the state is read: the loop thread changes the state first and then waits until no
+    // submission is in progress.
     submitting++;
     Submission result = submit_counted(m, callback);
     submitting--;
@@ -412,18 +440,18 @@
     r.content_type = std::move(m.content_type), r.content_encoding = std::move(m.content_encoding);
     r.urgency = std::move(m.urgency);
     r.recipient = std::move(m.recipient), r.sender = std::move(m.sender);
-    Order order;
-    auto rejection = intake.check(r, order.message);
+    Command command;
+    auto rejection = intake.check(r, command.message);
     if (!rejection) rejection = intake.check_body(m.body.size());
     if (rejection) {
       release();
       return {Submitted::rejected, 0, rejection->detail};
     }
-    order.destination = std::move(r.destination), order.message.body = std::move(m.body),
-    order.callback = std::move(callback);
-    const Ticket ticket = order.ticket = next_ticket++;
+    command.destination = std::move(r.destination), command.message.body = std::move(m.body),
+    command.callback = std::move(callback);
+    const Ticket ticket = command.ticket = next_ticket++;
     submitted++;
-    orders.enqueue(std::move(order));
+    orders.enqueue(std::move(command));
     return {Submitted::taken, ticket, ""};
   }
 
@@ -431,7 +459,7 @@
     if (closed) return;
     const auto keep = shared_from_this();  // a callback may destroy the engine
     loop.run_once(most_wait);
-    std::optional<Done> done;
+    std::optional<CallbackAnswer> done;
     while (callbacks.try_dequeue(done) && done) {
       inside++;
       run_callback(*done);
@@ -440,7 +468,8 @@
     if (closed) node.reset();
   }
 
-  // Stops, and waits unless this is the answer thread. In a forked child there are no threads to wait for.
+  // Stops the engine and waits for the threads, unless this is the answer thread. In a forked child there are
+  // no threads to wait for.
   void shut_down() {
     if (forked()) return;
     if (options.threading == Options::Threading::host) {
@@ -464,8 +493,8 @@
 
 Engine::~Engine() {
   impl_->shut_down();
-  // In a forked child nothing of the parent's is touched, not even to free it: locks may be held by threads
-  // that don't exist here.
+  // In a forked child nothing that came from the parent is used or freed: locks may be held by threads that
+  // do not exist here.
   if (impl_->forked()) new std::shared_ptr<Impl>(std::move(impl_));
 }
 
@@ -493,7 +522,7 @@
     if (result.status != Submitted::would_block || std::chrono::steady_clock::now() >= until) return result;
     std::unique_lock lock(impl_->mutex);
     impl_->waiting_for_room++;
-    // A short cap too: room may have been made between the try and the lock.
+    // Wakes after 5 ms at the latest, since capacity may have become free between the attempt and the lock.
     impl_->changed.wait_until(
         lock, std::min(until, std::chrono::steady_clock::now() + std::chrono::milliseconds(5)));
     impl_->waiting_for_room--;
@@ -511,21 +540,21 @@
 
 void Engine::withdraw(Ticket ticket) {
   if (impl_->forked()) return;
-  Order order;
-  order.kind = Order::Kind::withdraw, order.ticket = ticket;
-  impl_->orders.enqueue(std::move(order));
+  Command command;
+  command.kind = Command::Kind::withdraw, command.ticket = ticket;
+  impl_->orders.enqueue(std::move(command));
   impl_->wake();
 }
 
 std::size_t Engine::poll(std::vector<Answer>& answers, std::size_t most) {
   if (impl_->forked()) return 0;
-  // The mark is taken back before the queue is read: an answer that comes after this marks anew.
+  // The descriptor is reset before the queue is read, so that an answer added after this signals it again.
   char bytes[16];
   while (read(impl_->ready_read.get(), bytes, sizeof bytes) > 0) {
   }
   impl_->ready_marked = false;
   std::size_t n = 0;
-  for (Completed c; n < most && impl_->completions.try_dequeue(c); n++) {
+  for (QueuedAnswer c; n < most && impl_->completions.try_dequeue(c); n++) {
     answers.push_back(std::move(c.answer));
     impl_->unread--;
     impl_->release();
--- a/src/engine/engine_access.hpp
+++ b/src/engine/engine_access.hpp
@@ -1,5 +1,5 @@
-// For the daemon and for tests: an engine from settings that were read already, with another decider if need
-// be.
+// For the daemon and for tests: creates an engine from settings that have already been read, optionally with
+// another decider.
 #pragma once
 
 #include "cedarplank/delivery.hpp"
--- a/src/engine/lifecycle.hpp
+++ b/src/engine/lifecycle.hpp
@@ -1,5 +1,5 @@
-// The life of an engine as a state machine: what each call does in each state, and how a message ends on each
-// way out. Free of I/O, threads and clock.
+// The life cycle of an engine as a state machine: what each input does in each state, from opening to
+// stopped. Free of I/O, threads and clock. Also decides which settings may change while an engine runs.
 #pragma once
 
 #include <optional>
@@ -16,20 +16,20 @@
 enum class Input {
   opened,  // settings read, list read, sockets bound
   open_failed,
-  drain,         // asked to take nothing more
+  drain,         // asked to accept nothing more
   nothing_held,  // the last held message was answered
   drain_deadline,
   stop,         // asked to end now, or destroyed
-  all_answered  // while stopping: every answer has been handed over
+  all_answered  // while stopping: every answer has been delivered
 };
 
-// What the host of the machine has to do on a step.
+// A transition: the next state, and what the caller has to do.
 struct Step {
   State next = State::opening;
-  bool stop_taking = false;  // submissions are closed from here on
-  bool arm_deadline = false;
-  bool end_all = false;  // give every held message its final answer now
-  bool close = false;    // nothing is left to do
+  bool stop_taking = false;   // submissions are refused from now on
+  bool arm_deadline = false;  // start the timer for Input::drain_deadline
+  bool end_all = false;       // give every held message its final answer now
+  bool close = false;         // nothing is left to do: end the threads
 };
 
 constexpr Step step(State state, Input input) {
@@ -44,7 +44,7 @@
       if (input == Input::stop) return {.next = State::stopping, .stop_taking = true, .end_all = true};
       break;
     case State::draining:
-      // A second drain may only shorten: its deadline is armed too, the earlier one wins.
+      // A second drain may only shorten the first: its deadline is armed too, and the earlier one applies.
       if (input == Input::drain) return {.next = State::draining, .arm_deadline = true};
       if (input == Input::nothing_held || input == Input::drain_deadline || input == Input::stop)
         return {.next = State::stopping, .end_all = true};
@@ -58,9 +58,11 @@
   return {.next = state};
 }
 
+// Whether submissions are accepted in this state.
 constexpr bool takes(State state) { return state == State::running; }
 
-// Which settings may change in service. One line for each that may not and did; empty: all can be taken over.
+// Compares running settings with new ones. Returns one line for each setting that differs but may not change
+// while the engine runs; empty if all changes can be taken over.
 inline std::vector<std::string> reload_refusals(const config::RelaySettings& now,
                                                 const config::RelaySettings& next) {
   std::vector<std::string> refused;
@@ -77,7 +79,7 @@
        "trace.file, file_size and files");
   keep(now.journal == next.journal, "journal");
   keep(now.notes_listen == next.notes_listen, "peers.listen");
-  // Messages in hand carry places in these lists, and the module holds the figures.
+  // Held messages carry indexes into these lists, and the dispatcher holds copies of their values.
   keep(now.names.classes == next.names.classes, "classes");
   keep(now.names.kinds == next.names.kinds, "kinds");
   keep(now.kind_wire == next.kind_wire, "kinds[].smpp and unseen_503");
