--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -14,7 +14,7 @@
 namespace cedarplank::config {
 namespace {
 
-constexpr int kDeepest = 32;  // nesting of a settings file; deeper ones are an attack on the stack
+constexpr int kMaxDepth = 32;  // nesting of a settings file; deeper nesting could exhaust the stack
 
 std::string joined(const std::vector<std::string>& lines) {
   std::string all;
@@ -22,6 +22,7 @@
   return all;
 }
 
+// Parses a number that is followed by one of the units. `expected` describes the value in the error message.
 double parse_with_unit(const std::string& text, const std::vector<std::pair<std::string, double>>& units,
                        const char* expected) {
   double value = 0;
@@ -34,7 +35,8 @@
   throw std::invalid_argument("'" + text + "' is no " + expected);
 }
 
-std::size_t distance(const std::string& a, const std::string& b) {
+// Edit (Levenshtein) distance.
+std::size_t edit_distance(const std::string& a, const std::string& b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); j++) row[j] = j;
   for (std::size_t i = 1; i <= a.size(); i++) {
@@ -53,11 +55,11 @@
   return path.empty() ? key : path + "." + key;
 }
 
-// Keys that the schema doesn't know, with the nearest that it does; and keys given twice, which YAML forbids
-// and yaml-cpp lets pass.
+// Reports keys that the schema does not define, each with the most similar defined key, and duplicate keys,
+// which YAML forbids but yaml-cpp accepts.
 void check_keys(const Document& document, const YAML::Node& node, const rapidjson::Value& schema,
                 const std::string& path, int depth, std::vector<std::string>& errors) {
-  if (depth > kDeepest) {
+  if (depth > kMaxDepth) {
     errors.push_back(document.where(node, path) + "nested too deeply");
     return;
   }
@@ -119,11 +121,11 @@
 
 std::string nearest(const std::string& name, const std::vector<std::string>& names) {
   std::string best;
-  std::size_t least = std::max<std::size_t>(2, name.size() / 3) + 1;
+  std::size_t best_distance = std::max<std::size_t>(2, name.size() / 3) + 1;
   if (name.size() > 64) return best;
   for (const auto& candidate : names) {
-    const auto d = distance(name, candidate);
-    if (d < least) least = d, best = candidate;
+    const auto d = edit_distance(name, candidate);
+    if (d < best_distance) best_distance = d, best = candidate;
   }
   return best;
 }
@@ -151,22 +153,22 @@
   Document d;
   d.file_ = file;
   try {
-    // Anchors and aliases could unfold a small file into a huge one ("billion laughs"); settings need none.
-    // A '&' or '*' where a value begins is refused before yaml-cpp builds anything.
+    // Anchors and aliases could expand a small file into a huge one ("billion laughs"), and settings need
+    // none. A '&' or '*' where a value begins is rejected before yaml-cpp builds anything.
     std::istringstream lines(text);
     std::string line;
     for (int n = 1; std::getline(lines, line); n++) {
       int depth = 0;
       for (std::size_t i = 0; i < line.size(); i++) {
         if (line[i] == '#' && (i == 0 || line[i - 1] == ' ')) break;
-        if ((line[i] == '[' || line[i] == '{') && ++depth > kDeepest)
+        if ((line[i] == '[' || line[i] == '{') && ++depth > kMaxDepth)
           throw ConfigError({file + ":" + std::to_string(n) + ": nested too deeply"});
         const bool starts =
             i == 0 || line[i - 1] == ' ' || line[i - 1] == '[' || line[i - 1] == ',' || line[i - 1] == '{';
         if (starts && (line[i] == '&' || line[i] == '*'))
           throw ConfigError({file + ":" + std::to_string(n) + ": anchors and aliases are not taken here"});
       }
-      if (line.find_first_not_of(' ') != std::string::npos && line.find_first_not_of(" -?") > 4 * kDeepest)
+      if (line.find_first_not_of(' ') != std::string::npos && line.find_first_not_of(" -?") > 4 * kMaxDepth)
         throw ConfigError({file + ":" + std::to_string(n) + ": nested too deeply"});
     }
     d.root_ = YAML::Load(text);
@@ -181,7 +183,7 @@
   check_keys(d, d.root_, schema, "", 0, errors);
   if (errors.empty()) {
     for (const auto& e : schema_errors(d.root_, schema_text)) {
-      // The innermost node that the path reaches tells the line.
+      // The line number is that of the innermost node that the path reaches.
       YAML::Node node = d.root_;
       std::string path;
       for (const auto& step : e.path) {
--- a/src/config/document.hpp
+++ b/src/config/document.hpp
@@ -1,4 +1,5 @@
-// Settings files: YAML checked against a JSON schema, read with units, each error naming file, line and key.
+// Reads settings files: YAML that is checked against a JSON schema. Values may have units, and each error
+// names file, line and key.
 #pragma once
 
 #include <yaml-cpp/yaml.h>
@@ -13,7 +14,7 @@
 
 using Time = std::int64_t;  // microseconds
 
-// All that is wrong with one file, one line each: "FILE:LINE: KEY: what".
+// All errors of one file, one line each: "FILE:LINE: KEY: what".
 class ConfigError : public std::runtime_error {
  public:
   explicit ConfigError(std::vector<std::string> errors);
@@ -23,31 +24,33 @@
   std::vector<std::string> errors_;
 };
 
-// "250ms", "2s", "1.5min": microseconds. "24/s", "90/min": a second. "64KiB": bytes.
-// Throw std::invalid_argument saying what is expected.
+// Durations such as "250ms", "2s" or "1.5min" in microseconds; rates such as "24/s" or "90/min" per second;
+// sizes such as "64KiB" in bytes. Throw std::invalid_argument that says what is expected.
 Time parse_duration(const std::string& text);
 double parse_rate(const std::string& text);
 std::int64_t parse_size(const std::string& text);
 
-// The name among `names` that is nearest to `name` by edits; empty where none is near.
+// The name among `names` with the smallest edit distance to `name`; empty if none is similar.
 std::string nearest(const std::string& name, const std::vector<std::string>& names);
 
 class Document;
 
-// One value of a document with the key that leads to it.
+// One value of a document, with the path of keys that leads to it.
 class Value {
  public:
   Value(const Document& document, YAML::Node node, std::string path)
       : document_(&document), node_(std::move(node)), path_(std::move(path)) {}
 
   bool has(const char* key) const;
-  Value at(const char* key) const;   // throws ConfigError where it is missing
-  std::vector<Value> items() const;  // of a list; none where it is absent
+  Value at(const char* key) const;   // throws ConfigError if it is missing
+  std::vector<Value> items() const;  // of a list
+  // The items of a key's list; none if the key is absent.
   std::vector<Value> items(const char* key) const {
     return has(key) ? at(key).items() : std::vector<Value>{};
   }
   std::vector<std::pair<std::string, Value>> entries() const;  // of a map, in the file's order
 
+  // The value in a given type. Throw ConfigError if it has another form.
   std::string text() const;
   std::int64_t integer() const;
   double number() const;
@@ -56,7 +59,7 @@
   double rate() const;
   std::int64_t size() const;
 
-  // The value of a key, or `absent`.
+  // The value of a key, or `absent` if there is no such key.
   std::string text(const char* key, const std::string& absent) const {
     return has(key) ? at(key).text() : absent;
   }
@@ -69,7 +72,7 @@
   double rate(const char* key, double absent) const { return has(key) ? at(key).rate() : absent; }
   std::int64_t size(const char* key, std::int64_t absent) const { return has(key) ? at(key).size() : absent; }
 
-  // One of the words, as the value that stands for it.
+  // An enumeration: `words` maps each permitted text to its value.
   template <class T>
   T word(const char* key, const std::map<std::string, T>& words, T absent) const {
     if (!has(key)) return absent;
@@ -80,7 +83,7 @@
     for (const auto& [name, value] : words) names.push_back(name);
     v.fail("'" + v.text() + "' is unknown" + one_of(v.text(), names));
   }
-  // The place of a name among those defined elsewhere in the settings.
+  // The index of this value in a list of names that the settings define elsewhere.
   int position(const std::vector<std::string>& names, const char* what) const;
 
   [[noreturn]] void fail(const std::string& what) const;  // throws ConfigError
@@ -89,21 +92,24 @@
   const YAML::Node& node() const { return node_; }
 
  private:
+  // End of an error message: the most similar name, or all names.
   static std::string one_of(const std::string& name, const std::vector<std::string>& names);
   const Document* document_;
   YAML::Node node_;
   std::string path_;
 };
 
-// A parsed file that keeps to its schema.
+// A parsed file that conforms to its schema.
 class Document {
  public:
-  // Throws ConfigError: unreadable, no YAML, or against the schema (a JSON schema, draft 7).
+  // Throw ConfigError if the file is unreadable, not YAML, or does not conform to the schema (a JSON schema,
+  // draft 7).
   static Document load(const std::string& file, const char* schema);
   static Document parse(const std::string& file, const std::string& text, const char* schema);
 
   Value root() const { return {*this, root_, ""}; }
   const std::string& file() const { return file_; }
+  // Start of an error message: "FILE:LINE: KEY: ".
   std::string where(const YAML::Node& node, const std::string& path) const;
 
  private:
@@ -111,7 +117,7 @@
   YAML::Node root_;
 };
 
-// Throws std::runtime_error naming the file.
+// The file's content. Throws std::runtime_error naming the file.
 std::string read_file(const std::string& file);
 
 }  // namespace cedarplank::config
--- a/src/config/partners.hpp
+++ b/src/config/partners.hpp
@@ -1,4 +1,4 @@
-// The partner list as a file: destinations and their endpoints.
+// Reads and writes the partner list: destinations and their endpoints, as a YAML file.
 #pragma once
 
 #include <string>
@@ -9,11 +9,12 @@
 namespace cedarplank::config {
 
 struct PartnerEndpoint {
-  std::string id, destination;  // names; ids are unique in a list
+  std::string id, destination;  // names; an id is unique in a list
   std::string address, path;    // where to call: "127.0.0.1:9001", "/push/a"
-  int kind = 0, zone = 0;       // places in the relay's settings
+  int kind = 0, zone = 0;       // indexes into the relay's settings
   Listing listing = Listing::active;
   double weight = 1;  // see WeightKind
+  // Whether calls go to the same address and path, for the same destination.
   bool same_place(const PartnerEndpoint& o) const {
     return destination == o.destination && address == o.address && path == o.path;
   }
@@ -27,11 +28,11 @@
 
 extern const char* const kPartnersSchema;
 
-// Throws ConfigError naming file, line and key; also where the list shows signs of being half written: its
-// text doesn't end with a line's end, or `count` doesn't fit.
+// Throws ConfigError naming file, line and key; also if the list appears to be incompletely written: its text
+// does not end with a newline, or `count` does not match.
 PartnerList parse_partners(const std::string& file, const std::string& text, const Names& names);
 
-// The same list as text, for caches and for drills.
+// The list in the same format, for cache files and scenario runs.
 std::string write_partners(const PartnerList& list, const Names& names);
 
 }  // namespace cedarplank::config
--- a/src/config/relay_settings.cpp
+++ b/src/config/relay_settings.cpp
@@ -6,7 +6,7 @@
 
 namespace cedarplank::config {
 
-// JSON schema, draft 7. Units are checked by the readers, ranges that span keys by validate().
+// JSON schema, draft 7. Units are checked when values are read; conditions across several keys by validate().
 const char* const kRelaySchema = R"json({
 "type": "object", "required": ["relay", "partners", "classes"], "additionalProperties": false,
 "properties": {
@@ -112,6 +112,7 @@
 
 namespace {
 
+// The names of a list's items; fails if one occurs twice.
 std::vector<std::string> names_of(const Value& root, const char* key) {
   std::vector<std::string> names;
   for (const auto& item : root.items(key)) {
@@ -140,7 +141,7 @@
   return c;
 }
 
-SmppBack read_smpp_back(const Value& v, const Names& names) {
+SmppBack read_smpp_endpoint(const Value& v, const Names& names) {
   SmppBack b;
   b.system_id = v.at("system_id").text(), b.password = v.at("password").text();
   b.system_type = v.text("system_type", "");
@@ -162,7 +163,7 @@
   return b;
 }
 
-SmppFront read_smpp_front(const Value& v, const Names& names) {
+SmppFront read_smpp_server(const Value& v, const Names& names) {
   SmppFront f;
   f.listen = v.at("listen").text();
   f.system_id = v.text("system_id", f.system_id);
@@ -210,7 +211,7 @@
     s.kinds.push_back({k.boolean("routes_apart", false), k.integer("bundle_max", 1)});
   for (const auto& t : root.items("tenants")) s.tenants.push_back({t.rate("quota", 0)});
   for (const auto& z : root.items("zones")) s.zone_fees.push_back(z.number("fee", 0));
-  s.slots = 64, s.open_max = 1000, s.attempts_max = 8;  // also where there is no such section
+  s.slots = 64, s.open_max = 1000, s.attempts_max = 8;  // the defaults even if there is no such section
   s.cancelling = true, s.retry_after_max = 30'000'000;
   if (!root.has("dispatcher")) return s;
   const Value v = root.at("dispatcher");
@@ -252,12 +253,13 @@
   s.names = {names_of(root, "classes"), names_of(root, "kinds"), names_of(root, "zones"),
              names_of(root, "tenants")};
   for (const auto& k : root.items("kinds")) {
-    KindWire wire{k.boolean("unseen_503", false), {}};
-    if (k.has("smpp")) wire.smpp = read_smpp_back(k.at("smpp"), s.names);
-    if (wire.smpp && k.has("unseen_503")) k.at("unseen_503").fail("is of HTTP; with smpp, see smpp.unseen");
-    s.kind_wire.push_back(std::move(wire));
+    KindWire protocol{k.boolean("unseen_503", false), {}};
+    if (k.has("smpp")) protocol.smpp = read_smpp_endpoint(k.at("smpp"), s.names);
+    if (protocol.smpp && k.has("unseen_503"))
+      k.at("unseen_503").fail("is of HTTP; with smpp, see smpp.unseen");
+    s.kind_wire.push_back(std::move(protocol));
   }
-  if (root.has("smpp")) s.smpp = read_smpp_front(root.at("smpp"), s.names);
+  if (root.has("smpp")) s.smpp = read_smpp_server(root.at("smpp"), s.names);
 
   const Value relay = root.at("relay");
   s.name = relay.text("name", s.name);
@@ -283,19 +285,20 @@
     s.endpoint_ping_timeout = endpoints.duration("ping_timeout", s.endpoint_ping_timeout);
     s.handshakes_max = endpoints.integer("handshakes_max", s.handshakes_max);
   }
-  const auto beside = [&](const std::string& name) {
+  // A file name relative to the folder of the settings file.
+  const auto in_settings_folder = [&](const std::string& name) {
     return (std::filesystem::path(document.file()).parent_path() / name).string();
   };
   const Value partners = root.at("partners");
-  s.partners_file = beside(partners.at("file").text());
-  if (partners.has("cache")) s.partners_cache = beside(partners.at("cache").text());
+  s.partners_file = in_settings_folder(partners.at("file").text());
+  if (partners.has("cache")) s.partners_cache = in_settings_folder(partners.at("cache").text());
   s.partners_reread = partners.duration("reread", s.partners_reread);
   if (s.partners_reread < 10'000) partners.at("reread").fail("must be 10ms or more");
   s.dispatcher = read_dispatcher(root, s.names);
   if (root.has("journal")) {
     const Value journal = root.at("journal");
     JournalSettings j;
-    j.folder = beside(journal.at("folder").text());
+    j.folder = in_settings_folder(journal.at("folder").text());
     const std::string sync = journal.text("sync", "each");
     j.sync = sync == "each"      ? JournalSettings::Sync::each
              : sync == "batched" ? JournalSettings::Sync::batched
@@ -304,7 +307,8 @@
     j.batch_records = journal.integer("batch_records", j.batch_records);
     j.segment = journal.size("segment", j.segment);
     j.disk_max = journal.size("disk", j.disk_max);
-    // A message's record must fit, and what must still be written when nothing more is taken.
+    // There must be space for a message's record, and for the records that must still be written when no
+    // further message is accepted.
     if (j.segment < 4 * s.body_max + 65'536)
       journal.fail("segment: must be 4 times relay.body_max and 64 KiB or more");
     if (j.disk_max < 8 * j.segment) journal.fail("disk: must be 8 segments or more");
@@ -314,7 +318,7 @@
   }
   if (root.has("trace")) {
     const Value trace = root.at("trace");
-    s.trace_file = beside(trace.at("file").text());
+    s.trace_file = in_settings_folder(trace.at("file").text());
     s.trace_file_bytes = trace.size("file_size", s.trace_file_bytes);
     if (s.trace_file_bytes < 4096) trace.at("file_size").fail("must be 4 KiB or more");
     s.trace_memory = trace.size("memory", s.trace_memory);
--- a/src/config/schema_check.cpp
+++ b/src/config/schema_check.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-// YAML as JSON with all scalars as texts; valijson's own adapter for yaml-cpp doesn't compile here.
+// Converts YAML to JSON with all scalars as strings, since valijson's own adapter for yaml-cpp does not
+// compile here.
 rapidjson::Value as_json(const YAML::Node& node, rapidjson::Document::AllocatorType& memory) {
   const auto text = [&](const std::string& s) {
     return rapidjson::Value(s.data(), static_cast<rapidjson::SizeType>(s.size()), memory);
@@ -40,7 +41,7 @@
   valijson::Schema schema;
   valijson::SchemaParser parser;
   parser.populateSchema(valijson::adapters::RapidJsonAdapter(document), schema);
-  // YAML's scalars have no types of their own: "5" may be a number or a text.
+  // YAML scalars have no type of their own: "5" may be a number or a string.
   valijson::Validator validator(valijson::Validator::kWeakTypes);
   rapidjson::Document target;
   static_cast<rapidjson::Value&>(target) = as_json(node, target.GetAllocator());
