--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -82,7 +82,7 @@
   }
   EXPECT_NE(error_of(std::string(5000, '[')).find("nested too deeply"), std::string::npos);
   EXPECT_NE(error_of("").find("must be a map"), std::string::npos);
-  // All errors of a file at once.
+  // All errors of a file are reported together.
   const auto both = error_of(changed(changed(kGood, "aim: 1s", "aimm: 1s"), "slots: 16", "slot: 16"));
   EXPECT_NE(both.find("aimm"), std::string::npos);
   EXPECT_NE(both.find("did you mean 'slots'"), std::string::npos);
@@ -100,7 +100,7 @@
   EXPECT_EQ(list.endpoints[1].listing, Listing::draining);
   EXPECT_EQ(list.endpoints[0].kind, 1);
   EXPECT_EQ(parse_partners("p.yaml", write_partners(list, names), names).endpoints, list.endpoints);
-  // Signs of a list that is half written.
+  // Lists that are incompletely written, or name something twice or unknown.
   for (std::size_t n = 0; n < text.size(); n++)
     EXPECT_THROW(parse_partners("p.yaml", text.substr(0, n), names), ConfigError) << n;
   for (const auto& [from, to] :
--- a/tests/delivery_test.cpp
+++ b/tests/delivery_test.cpp
@@ -1,5 +1,5 @@
-// The linked engine: life cycle, hand-over between threads, and every way out. Stand-ins run on a thread of
-// their own.
+// The engine as a library: life cycle, communication between threads, and all ways to stop. Stand-in
+// endpoints run on a thread of their own.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -40,7 +40,8 @@
       EXPECT_EQ(next(State::stopping, i), State::stopping);
     }
   }
-  EXPECT_TRUE(engine::step(State::draining, Input::drain).arm_deadline);  // may only shorten
+  EXPECT_TRUE(
+      engine::step(State::draining, Input::drain).arm_deadline);  // a second drain may only shorten the first
   EXPECT_TRUE(engine::step(State::running, Input::stop).end_all);
   EXPECT_TRUE(engine::step(State::running, Input::stop).stop_taking);
   EXPECT_FALSE(engine::takes(State::draining));
@@ -105,7 +106,7 @@
   for (int i = 0; i < 300; i++) {
     const auto s = f.engine->submit(message("status", i % 3 ? "d" : "mute"));
     tickets.insert(s.ticket);
-    if (i % 2) f.engine->withdraw(s.ticket);  // at any instant of its life
+    if (i % 2) f.engine->withdraw(s.ticket);  // at any stage of its delivery
   }
   std::vector<Answer> answers;
   f.engine->stop();
@@ -126,7 +127,7 @@
   });
   EXPECT_EQ(again.get_future().get().final, Final::served);
   EXPECT_EQ(f.engine->snapshot().callback_errors, 2u);
-  // One that blocks holds answers up, not deliveries.
+  // A callback that blocks delays answers, not deliveries.
   std::promise<void> go;
   const auto served = f.engine->snapshot().served;
   f.engine->submit(message(), [wait = go.get_future().share()](const Answer&) { wait.wait(); });
@@ -154,8 +155,8 @@
   for (int i = 0; i < 5; i++) f.engine->submit(message("status", "mute"), note);
   while (f.standins.calls() < 1) std::this_thread::sleep_for(std::chrono::milliseconds(1));
   f.engine.reset();
-  // Failed are the unsafe ones that are out at the silent stand-in and may have run; the module lets only
-  // some out.
+  // The unsafe messages that were sent to the silent stand-in fail, since they may have taken effect. The
+  // dispatcher sends only some of them.
   EXPECT_GE(failed, 1);
   EXPECT_LE(failed, 5);
   EXPECT_EQ(failed + refused, 10);
@@ -179,7 +180,8 @@
   EXPECT_EQ(a.get().final, Final::failed);
 }
 
-// The drain's own order comes out of the queue before those of the other thread, in one batch with them.
+// The drain's command comes out of the queue before the submissions of the other thread, in one batch with
+// them. It must not refuse them.
 TEST(Delivery, ADrainKeepsWhatAnotherThreadSubmittedBeforeIt) {
   Options o;
   o.threading = Options::Threading::host;
@@ -195,7 +197,8 @@
   EXPECT_EQ(finals[Final::served], 40);
 }
 
-// The same for a withdrawal by another thread than the submitter's.
+// A withdrawal by another thread than the submitter's may come out of the queue before the submission. It
+// must not be lost.
 TEST(Delivery, AWithdrawalByAnotherThreadIsNotLost) {
   Options o;
   o.threading = Options::Threading::host;
@@ -235,7 +238,7 @@
   if (child == 0) {
     const bool closed = a.engine->submit(message()).status == Submitted::closed &&
                         b.engine->submit(message()).status == Submitted::closed;
-    a.engine.reset();  // returns, and touches nothing of the parent's
+    a.engine.reset();  // returns without using anything of the parent's
     _exit(closed ? 0 : 1);
   }
   int status = 0;
@@ -245,7 +248,8 @@
   EXPECT_EQ(b.engine->submit_future(message()).get().final, Final::served);
 }
 
-// The tickets of a process that was killed are answered in the next one that has its journal, each once.
+// The tickets of a process that was killed are answered by the next process that opens its journal, each
+// exactly once.
 TEST(Delivery, TicketsOfAKilledRunAreAnsweredByTheNext) {
   Standins standins;
   standins.add("d", "");
@@ -262,7 +266,7 @@
     for (int i = 0; i < 5; i++) engine->submit(message("pay", "mute"));
     for (int i = 0; i < 5; i++) engine->submit(message("status", "mute"));
     while (engine->snapshot().served < 20) usleep(1'000);
-    usleep(200'000);  // its sends are out; if not, they are refused instead of failed
+    usleep(200'000);  // its sends have been made; if not, they are refused instead of failed
     static_cast<void>(!write(ready[1], "r", 1));
     pause();
     _exit(0);
@@ -294,7 +298,7 @@
   }
   EXPECT_GT(engine->submit(message()).ticket, 30u);
   engine.reset();
-  // What was handed over does not come again; the last one's answer was never polled.
+  // Answers that were delivered do not come again. The last message's answer was never polled, so it does.
   got.clear();
   engine = Engine::open(file, o);
   for (int i = 0; i < 30'000 && many() < 1; i++) usleep(1'000);
@@ -312,8 +316,8 @@
   EXPECT_EQ(f.engine->submit_future(message()).get().final, Final::served);
 }
 
-// 64 threads; the engine is stopped or drained at a random moment, again and again, and once drained near the
-// end.
+// 64 threads submit while the engine is stopped or drained at a random moment, in several rounds. The last
+// round is drained near its end.
 TEST(Delivery, StressFromManyThreads) {
   Standins standins;
   for (int i = 0; i < 20; i++) standins.add("d" + std::to_string(i), "");
@@ -340,7 +344,7 @@
           if (s.status == Submitted::closed) return;
         }
       });
-    // By how far the hosts are, not by the clock: a slow machine sees the same kinds of end.
+    // Triggered by the number of submissions, not by the clock, so that a slow machine covers the same cases.
     const std::uint64_t part = last ? 90 : 10 + random() % 80;
     while (offered < static_cast<std::uint64_t>(each) * 64 * part / 100)
       std::this_thread::sleep_for(std::chrono::microseconds(200));
@@ -357,7 +361,7 @@
   }
 }
 
-// Messages of one key go in the order in which their thread submitted them.
+// Messages with the same order key are delivered in the order in which their thread submitted them.
 TEST(Delivery, OrderedClassesKeepEachThreadsOrder) {
   Fixture f;
   std::mutex mutex;
@@ -382,7 +386,7 @@
     EXPECT_TRUE(list.size() == 20 && std::is_sorted(list.begin(), list.end())) << t;
 }
 
-// Submissions racing with a stop, many times over: each taken ticket is answered exactly once.
+// Submissions race with a stop or drain, in many rounds: each accepted ticket is answered exactly once.
 TEST(Delivery, RandomShutdowns) {
   Standins standins;
   standins.add("d", ""), standins.add("mute", "silent");
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -1,4 +1,4 @@
-// Scripted events against the module: fixed seeds, no wall clock, no bench.
+// Drives one dispatcher with scripted events, with fixed seeds and without a wall clock.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,6 +15,7 @@
 
 constexpr Time kMs = 1'000, kS = 1'000'000;
 
+// Settings with a safe, an unsafe and a keyed class, in the order of `Class`.
 inline Settings plain() {
   Settings s;
   s.classes = {{.worth = 1, .late_worth = 0, .aim = 1 * kS, .deadline = 6 * kS, .effect = Effect::safe},
@@ -37,18 +38,20 @@
 
 enum Class { kSafe, kUnsafe, kKeyed };
 
-struct Sent {
+struct Sent {  // an attempt
   MessageId id;
   int attempt;
   EndpointId endpoint;
   Time at, timeout;
 };
 
-// Drives one dispatcher: keeps the clock, counts attempts, fires timers, collects what was done.
+// Drives one dispatcher: keeps the clock, counts attempts, fires timers, and records the dispatcher's
+// actions.
 class Relay {
  public:
   explicit Relay(const Settings& s = plain(), std::uint64_t seed = 1) : dispatcher_(s, seed) {}
 
+  // Passes the events to the dispatcher in one round.
   void round(std::vector<Event> events) {
     std::vector<Action> actions;
     dispatcher_.handle(now, events, actions);
@@ -74,7 +77,7 @@
       }
     }
   }
-  // Fires the timers due up to `until`, then stands there.
+  // Fires the timers due up to `until`, then sets the clock to `until`.
   void run_to(Time until) {
     while (true) {
       auto it = std::min_element(timers_.begin(), timers_.end());
@@ -97,11 +100,11 @@
     round({a});
     return a.id;
   }
-  // Ends the oldest attempt of the message that is out.
+  // Ends the oldest outstanding attempt of the message.
   void end(MessageId id, Outcome outcome, Time told_wait = 0) { round({ending(id, outcome, told_wait)}); }
   Event ending(MessageId id, Outcome outcome, Time told_wait = 0) {
     auto it = std::find_if(out.begin(), out.end(), [&](const Sent& s) { return s.id == id; });
-    EXPECT_NE(it, out.end()) << "message " << id << " has nothing out";
+    EXPECT_NE(it, out.end()) << "message " << id << " has no outstanding attempt";
     event::AttemptEnded e;
     e.id = id;
     e.attempt = it->attempt;
@@ -113,8 +116,8 @@
     out.erase(it);
     return e;
   }
-  // Lives through `span` in steps of 50 ms; `decide` ends what is out for 100 ms or more, arrivals come at
-  // `rate`.
+  // Runs for `span` in steps of 50 ms. `decide` gives the outcome, if any, of attempts that have been
+  // outstanding for 100 ms or more. Messages arrive at `rate` per second.
   template <class Decide>
   void live(Time span, double rate, Class c, DestinationId destination, Decide decide) {
     const Time until = now + span;
@@ -140,10 +143,10 @@
   }
 
   Time now = 1 * kS;
-  std::vector<Sent> sent, out;
+  std::vector<Sent> sent, out;  // all attempts; those outstanding
   std::map<MessageId, Time> refused, failed, cancelled;
   std::map<MessageId, Time> come_back;
-  std::vector<Time> asked;
+  std::vector<Time> asked;  // when the dispatcher asked for the list's changes
   std::map<EndpointId, std::vector<Time>> idle_closed;
   std::vector<std::pair<Time, std::string>> notes;
 
--- a/tests/hosts_test.sh
+++ b/tests/hosts_test.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Usage: hosts_test.sh PROGRAM EXAMPLES HOSTS: the example hosts against stand-ins.
+# Usage: hosts_test.sh PROGRAM EXAMPLES HOSTS
+# Runs the example host programs against stand-in endpoints.
 set -euo pipefail
 work=$(mktemp -d)
 trap 'kill $standin 2>/dev/null || true; rm -rf "$work"' EXIT
--- a/tests/program_test.sh
+++ b/tests/program_test.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Usage: program_test.sh ADAPTER: exit status and output of the program itself.
+# Usage: program_test.sh ADAPTER
+# Checks the program's exit status and output for valid and malformed input.
 set -e
 empty=$(printf '%s\n' '{"kind":"ROUND","Clock":1}' '{"kind":"YOUR_TURN"}' | "$1")
 test "$empty" = '{"kind":"OK"}'
--- a/tests/service.hpp
+++ b/tests/service.hpp
@@ -1,4 +1,4 @@
-// A whole relay, stand-ins and a scripted client on one loop, over loopback sockets.
+// Runs a complete relay, stand-in endpoints and a scripted client on one event loop, over loopback sockets.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,21 +14,22 @@
 
 constexpr Time kMs = 1'000, kS = 1'000'000;
 
-// Turns the loop until `done`, or fails after a generous time.
+// Runs the loop until `done` returns true; fails after `within`.
 template <class Done>
 void turn(loop::Loop& loop, Done done, Time within = 60 * kS) {
   const Time until = loop.refresh() + within;
   while (!done()) {
-    ASSERT_LT(loop.refresh(), until) << "nothing more happens";
+    ASSERT_LT(loop.refresh(), until) << "the expected condition did not occur in time";
     loop.run_once(10 * kMs);
   }
 }
+// Runs the loop for a given time.
 inline void rest(loop::Loop& loop, Time time) {
   const Time until = loop.refresh() + time;
   while (loop.refresh() < until) loop.run_once(std::min<Time>(5 * kMs, until - loop.now()));
 }
 
-// A client whose every frame the test decides.
+// An HTTP/2 client whose requests and frames the test controls.
 class Client {
  public:
   Client(loop::Loop& loop, const std::string& address, const http2::LocalSettings& local = {})
@@ -89,10 +90,11 @@
   bool closed = false, goaway = false;
 };
 
+// A relay with its stand-in endpoints, settings and partner list.
 class Service {
  public:
   loop::Loop loop;
-  std::vector<record::Record> frames;  // at the endpoints
+  std::vector<record::Record> frames;  // sent and received at the endpoints
   std::vector<standin::Effect> effects;
   std::vector<std::unique_ptr<standin::Destination>> destinations;
   std::vector<std::string> log;
@@ -127,7 +129,7 @@
     std::error_code ignored;
     std::filesystem::remove_all(folder, ignored);
   }
-  // A destination of `n` endpoints, each destination quick unless told otherwise.
+  // Adds a destination with `n` stand-in endpoints, which answer quickly by default.
   standin::Destination& add(const std::string& name, int n, standin::PlaceSettings place = quick(),
                             int streams_max = 100, bool smpp = false, int kind = 0) {
     standin::DestinationSettings d;
@@ -143,7 +145,7 @@
     for (auto& e : destinations.back()->endpoints()) list_endpoint(name, e->id(), e->address(), kind);
     return *destinations.back();
   }
-  // One that is a message centre.
+  // Adds a destination whose endpoints are message centres (SMPP).
   standin::Destination& add_centre(const std::string& name, int n, const char* kind = "sms",
                                    standin::PlaceSettings place = quick()) {
     const auto& kinds = settings.names.kinds;
@@ -184,6 +186,7 @@
         if (e->id() == id) return *e;
     throw std::logic_error(id);
   }
+  // Requests received at the endpoint, or at all endpoints, since `from`.
   std::size_t calls(const std::string& endpoint = "", Time from = 0) const {
     std::size_t n = 0;
     for (const auto& r : frames)
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,4 +1,4 @@
-// The whole path over loopback, with faults injected.
+// A complete relay over loopback sockets: requests, faults injected at endpoints, list changes and stops.
 #include "service.hpp"
 
 #include <set>
@@ -68,7 +68,8 @@
   EXPECT_EQ(s.effects[0].key, "k1");
 }
 
-// Rule 2: taken, then the connection drops without a word: it may have run, so it never goes again.
+// Rule 2: the endpoint accepts the call and then drops the connection without an answer. The message may have
+// been processed, so it is never sent again.
 TEST(Service, AnUnsafeMessageWhoseConnectionDropsAfterItWasTakenFails) {
   Service s;
   s.add("c", 2);
@@ -99,8 +100,8 @@
   EXPECT_EQ(c.status(id), "201");
 }
 
-// A GOAWAY while 50 streams are out: those above its last stream are proved untaken and go again, even unsafe
-// ones; none is done twice.
+// A GOAWAY while 50 streams are outstanding: the streams above its last stream id are known not to have been
+// processed, so their messages are sent again, even unsafe ones. None takes effect twice.
 TEST(Service, AGoawayInTheMiddleOfABurst) {
   Service s;
   auto place = Service::quick();
@@ -133,7 +134,8 @@
   EXPECT_GT(s.calls(), 10u);
 }
 
-// Half-open: the kernel takes the connection, nobody answers. No SETTINGS came, so nothing was sent: proved.
+// A half-open connection: the kernel accepts it, but no program answers. Without the peer's SETTINGS nothing
+// was sent, which proves that no message was processed.
 TEST(Service, AnEndpointThatAcceptsAndSaysNothingProvesThatNothingRan) {
   Service s;
   s.add("c", 1);
@@ -169,7 +171,8 @@
   }
 }
 
-// The client resets one stream of a burst while its call is out: that message is withdrawn, the others go on.
+// The client resets one stream of a burst while its call is outstanding: that message is cancelled, the
+// others are still delivered.
 TEST(Service, AClientThatResetsOneStreamWithdrawsOneMessage) {
   Service s;
   auto place = Service::quick();
@@ -202,10 +205,10 @@
   turn(s.loop, [&] { return s.node->core().held() == 0; });
   const Time gone = s.loop.refresh();
   rest(s.loop, 400 * kMs);
-  EXPECT_EQ(s.calls("", gone + 50 * kMs), 0u);  // nothing is sent for what was withdrawn
+  EXPECT_EQ(s.calls("", gone + 50 * kMs), 0u);  // nothing is sent for cancelled messages
 }
 
-// A client that reads nothing: its windows stay at zero while answers with bodies are due.
+// A client that reads nothing: its flow-control windows stay at zero while answers with bodies are due.
 TEST(Service, APeerThatReadsNothingIsCutOffAndHoldsNobodyElse) {
   Service s;
   s.add("c", 1);
@@ -214,19 +217,20 @@
   no_window.initial_window_size = 0;
   Client stuck(s.loop, s.node->address(), no_window), fine(s.loop, s.node->address());
   turn(s.loop, [&] { return stuck.h2.settings_acknowledged(); });
-  const auto owed = stuck.push("/push/c/other", "");  // a 404 whose body has no window
+  const auto owed = stuck.push("/push/c/other", "");  // a 404 whose body finds no window
   turn(s.loop, [&] { return stuck.answers.count(owed) > 0; });
   const auto id = fine.push("/push/c/status", "id=f;");
   turn(s.loop, [&] { return fine.answers.count(id) > 0; });
   EXPECT_EQ(fine.status(id), "201");
-  turn(s.loop, [&] { return stuck.closed; });  // stalled_after
+  turn(s.loop, [&] { return stuck.closed; });  // after stalled_after
   EXPECT_EQ(stuck.bodies[owed], "");
 }
 
-// Rule 6: a told wait arrives while further sends to that destination are decided but not written.
+// Rule 6: a told wait arrives while further sends to that destination are decided but not yet written. They
+// must wait too.
 TEST(Service, AToldWaitHoldsWhatWasDecidedButNotSent) {
   Service s;
-  s.add("c", 2, Service::quick(), 2);  // two streams a connection: most calls wait for one
+  s.add("c", 2, Service::quick(), 2);  // two streams per connection: most calls wait for a stream
   s.settings.endpoint_connections_max = 1;
   s.start();
   Client c(s.loop, s.node->address());
@@ -249,7 +253,8 @@
   EXPECT_GT(s.node->core().held(), 0u);
 }
 
-// Rule 3: the list takes an endpoint away while calls are out there: they end as they do, nothing new goes.
+// Rule 3: an endpoint leaves the list while calls to it are outstanding. These end normally; nothing new is
+// sent to it.
 TEST(Service, AnEndpointThatLeavesTheListGetsNothingNew) {
   Service s;
   auto place = Service::quick();
@@ -277,7 +282,7 @@
   Service s;
   s.add("c", 2);
   s.start();
-  const auto heard = [&](const char* what) {
+  const auto logged = [&](const char* what) {
     return [&s, what] {
       return std::any_of(s.log.begin(), s.log.end(),
                          [&](const auto& l) { return l.find(what) != std::string::npos; });
@@ -285,26 +290,26 @@
   };
   const std::string whole = config::write_partners(s.list, s.settings.names);
   s.write_text(whole.substr(0, whole.size() / 2));
-  turn(s.loop, heard("kept the old one"));
+  turn(s.loop, logged("kept the old one"));
   s.write_text("count: 1\npartners: []\n");
-  turn(s.loop, heard("half written"));
+  turn(s.loop, logged("half written"));
   std::filesystem::remove(s.folder + "/partners.yaml");
-  turn(s.loop, heard("is not there"));
+  turn(s.loop, logged("is not there"));
   Client c(s.loop, s.node->address());
   const auto id = c.push("/push/c/status", "id=a;");
   turn(s.loop, [&] { return c.answers.count(id) > 0; });
   EXPECT_EQ(c.status(id), "201");
-  // Started anew while the list is away, a relay goes by the one it kept.
+  // A relay that starts while the list cannot be read uses its cached list.
   s.node.reset();
   s.node = std::make_unique<node::Node>(
       s.loop, s.settings, [&](const char* e, const std::string& t) { s.log.push_back(std::string(e) + t); });
-  turn(s.loop, heard("started with the one kept"));
+  turn(s.loop, logged("started with the one kept"));
   Client again(s.loop, s.node->address());
   const auto second = again.push("/push/c/status", "id=b;");
   turn(s.loop, [&] { return again.answers.count(second) > 0; });
   EXPECT_EQ(again.status(second), "201");
   s.write_text(whole);
-  turn(s.loop, heard("readable again"));
+  turn(s.loop, logged("readable again"));
 }
 
 TEST(Service, BeyondItsBufferARelayTakesNothing) {
@@ -326,7 +331,8 @@
   EXPECT_EQ(s.node->core().counts().not_taken, full);
 }
 
-// The door stands before the core, in tenants' shares, and forgets what is over.
+// Admission control limits held messages and bodies by tenants' shares before messages reach the core, and
+// releases what messages with a final answer had used.
 TEST(Service, ShortOfRoomOrMemoryATenantGetsItsShare) {
   Service s;
   s.settings.dispatcher.open_max = 20, s.settings.held_bytes_max = 5'000;
@@ -336,13 +342,13 @@
     relay::NewMessage m;
     m.destination = *s.node->destination("c"), m.tenant = tenant, m.time_left = 6 * kS;
     m.body.assign(bytes, 'x');
-    struct Deaf final : relay::Answers {
+    struct IgnoredAnswers final : relay::Answers {
       void served(MessageId, const relay::Ending&) override {}
       void refused(MessageId, Time, const relay::Account&) override {}
       void failed(MessageId, const relay::Account&) override {}
     };
-    static Deaf deaf;
-    return s.node->take(std::move(m), deaf, [](MessageId) {});
+    static IgnoredAnswers ignored;
+    return s.node->take(std::move(m), ignored, [](MessageId) {});
   };
   turn(s.loop, [&] { return s.node->destination("c").has_value(); });
   EXPECT_EQ(take(-1, 10).taken, relay::Core::Taken::yes);
@@ -375,7 +381,8 @@
   }
 }
 
-// A stop: what is held ends by fate; refused only where no attempt may have run.
+// At a stop each held message gets its final answer: refused only if no attempt of it can have taken effect
+// or its class allows repeats, else failed.
 TEST(Service, AStopGivesEachHeldMessageItsFinalAnswer) {
   Service s;
   s.add("quiet", 1);
@@ -389,12 +396,12 @@
   turn(s.loop, [&] { return s.calls("c-1") == 1; });
   s.node->stop_taking();
   turn(s.loop, [&] { return c.goaway && c.answers.count(fine) > 0; });
-  const auto late = c.push("/push/c/pay", "id=d;");  // 0: the client knows that nothing is taken any more
+  const auto late = c.push("/push/c/pay", "id=d;");  // 0: after the GOAWAY the client opens no more streams
   EXPECT_EQ(late, 0u);
   s.node->end_all();
   turn(s.loop, [&] { return c.answers.size() == 3 && s.node->drained(); });
   EXPECT_EQ(c.status(fine), "201");
-  EXPECT_EQ(c.status(lost), "502");  // its call may have run
+  EXPECT_EQ(c.status(lost), "502");  // its call may have taken effect
   EXPECT_EQ(c.status(safe), "503");
 }
 
@@ -425,7 +432,8 @@
   for (int i = 0; i < 10; i++) EXPECT_EQ(s.effects_of("y" + std::to_string(i)), 1u);
 }
 
-// 10,000 mixed messages over one connection through one relay to 24 endpoints: each exactly one final answer.
+// 10,000 mixed messages over one connection through one relay to 24 endpoints: each gets exactly one final
+// answer.
 TEST(Service, TenThousandMixedMessages) {
   Service s;
   rig::LoadSettings load;
@@ -438,7 +446,7 @@
     s.add(load.destinations.back(), 2);
   }
   s.start();
-  // Trouble on the way: a connection dropped after taking, and streams reset by the client.
+  // Injected faults: connections dropped after a call was accepted, and streams reset by the client.
   s.endpoint("d3-1").begin(fault(Fault::drop_after_take, 0.02));
   load.rate = 0, load.count = 10'000, load.outstanding = 200, load.reset_share = 0.002, load.retries = 0;
   std::map<std::string, std::string> paths;  // by message
@@ -459,7 +467,7 @@
   EXPECT_EQ(bad, 0u);
   EXPECT_EQ(client.doubled(), 0u);
   turn(s.loop, [&] { return s.node->core().held() == 0; });
-  // What was served took effect, and nothing took effect twice that may not.
+  // Served messages took effect, and no unsafe message took effect twice.
   std::map<std::string, int> by_message;
   for (const auto& e : s.effects) by_message[e.message]++;
   std::uint64_t served = 0;
