--- a/src/back/driver.hpp
+++ b/src/back/driver.hpp
@@ -57,7 +57,9 @@
   void standing(const EndpointId& id, pool::LinkId link, std::uint32_t calls_max);
   // Something was received from the peer.
   void heard(const EndpointId& id, pool::LinkId link);
+  // The call has its outcome.
   void answered(const EndpointId& id, pool::LinkId link, CallId call, relay::Ending ending);
+  // The peer has answered a ping.
   void pong(const EndpointId& id, pool::LinkId link);
   void draining(const EndpointId& id, pool::LinkId link);  // the peer accepts no more calls on it
   // The peer has changed the number of calls that it allows at once.
--- a/src/back/link.hpp
+++ b/src/back/link.hpp
@@ -32,6 +32,7 @@
   virtual Submitted submit(const relay::CallOrder& call, Time left) = 0;
   // Abandons a call. Nothing more of it is sent, and nothing is reported for it afterwards.
   virtual void reset(CallId call) = 0;
+  // Sends the protocol's liveness check (PING or enquire_link).
   virtual void ping() = 0;
   // Closes gracefully: what was written is still sent. The driver is notified when the connection has closed.
   virtual void close() = 0;
--- a/src/config/relay_settings.cpp
+++ b/src/config/relay_settings.cpp
@@ -147,8 +147,8 @@
   b.system_type = v.text("system_type", "");
   b.transceiver = v.word<bool>("bind", {{"transmitter", false}, {"transceiver", true}}, false);
   b.sender = v.text("sender", ""), b.recipient = v.text("recipient", "");
-  using Long = SmppBack::Long;
-  b.long_messages = v.word<Long>("long", {{"udh", Long::udh}, {"sar", Long::sar}, {"payload", Long::payload}},
+  using Mode = SmppBack::Long;
+  b.long_messages = v.word<Mode>("long", {{"udh", Mode::udh}, {"sar", Mode::sar}, {"payload", Mode::payload}},
                                  b.long_messages);
   b.window = v.integer("window", b.window);
   b.response = v.duration("response", b.response);
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -92,12 +92,12 @@
   std::atomic<bool> woken{false}, ready_marked{false};
   moodycamel::ConcurrentQueue<Command> orders;
   moodycamel::ConcurrentQueue<QueuedAnswer> completions;
-  moodycamel::ConcurrentQueue<MessageId>
-      handed;  // delivered answers, which the journal need not keep any longer
-  moodycamel::BlockingConcurrentQueue<std::optional<CallbackAnswer>>
-      callbacks;  // nullopt: the answer thread ends
+  // Delivered answers, which the journal need not keep any longer.
+  moodycamel::ConcurrentQueue<MessageId> handed;
+  // Answers for the answer thread; nullopt: it ends.
+  moodycamel::BlockingConcurrentQueue<std::optional<CallbackAnswer>> callbacks;
   net::Fd ready_read, ready_write;
-  std::atomic<std::uint64_t> submitted{0}, tallies[5]{}, callback_errors{0};  // tallies: by Final
+  std::atomic<std::uint64_t> submitted{0}, tallies[5]{}, callback_errors{0};  // answers, by Final
   std::mutex mutex;
   std::condition_variable changed;  // the state, or the capacity for submissions
   std::atomic<int> waiting_for_room{0};
--- a/src/node/journal.cpp
+++ b/src/node/journal.cpp
@@ -70,8 +70,7 @@
   k.classes = settings_.dispatcher.classes;
   k.class_names = settings_.names.classes, k.tenant_names = settings_.names.tenants;
   k.answers_for = j.answers_for, k.answers_max = static_cast<std::size_t>(j.answers_max);
-  // Together within the half of the disk limit that the writer allows for accepting messages: see
-  // store::Writer::room().
+  // Together within the half of the disk limit up to which the writer allows new messages: see store::Writer.
   k.window = static_cast<std::uint64_t>(j.disk_max) / 4;
   k.answers_bytes = static_cast<std::size_t>(j.disk_max) / 8;
   keeper_ = std::make_unique<journal::Keeper>(
@@ -93,7 +92,7 @@
   return *keeper_;
 }
 
-void Journal::recover(relay::Desk& desk, relay::PartnerBook& book, const Heirs& heirs) {
+void Journal::recover(relay::Desk& assembly, relay::PartnerBook& registry, const Heirs& handlers) {
   const Time now = loop_.refresh();
   const auto& image = keeper_->image();
   const auto base = journal::begin(image, clock_now());
@@ -104,19 +103,19 @@
   };
   const auto found = journal::recover(
       image, now,
-      {.destination = [&](const std::string& name) { return book.number_of(name); },
+      {.destination = [&](const std::string& name) { return registry.number_of(name); },
        .message_class = [&](const std::string& name) { return index_of(settings_.names.classes, name); },
        .tenant = [&](const std::string& name) { return index_of(settings_.names.tenants, name); }});
-  desk.number_from(image.next_id());
-  for (const auto& k : found.known) desk.core().known(k);
+  assembly.number_from(image.next_id());
+  for (const auto& k : found.known) assembly.core().known(k);
   for (const auto& m : found.messages)
-    desk.restore(now, m.id, m.message, book.name_of(m.message->destination), m.deadline, m.before,
-                 heirs.held(m.id, m.message->owner));
+    assembly.restore(now, m.id, m.message, registry.name_of(m.message->destination), m.deadline, m.before,
+                     handlers.held(m.id, m.message->owner));
   // Copied first: an owner may acknowledge the answer at once, which changes the state being iterated.
   std::vector<journal::record::Answered> owned;
   for (const auto& [id, answer] : image.answers())
     if (!answer.is.owner.empty()) owned.push_back(answer.is);
-  for (const auto& answer : owned) heirs.answered(answer);
+  for (const auto& answer : owned) handlers.answered(answer);
   for (const auto id : found.classless) keeper_->end_classless(id);
   if (base.run > 1)
     log_("run " + std::to_string(base.run) + ": " + std::to_string(records_) + " records read; " +
--- a/src/node/journal.hpp
+++ b/src/node/journal.hpp
@@ -41,7 +41,7 @@
     std::function<void(const journal::record::Answered&)> answered;
   };
   // Restores the messages and endpoint states that an earlier run left. The relay must have its partner list.
-  void recover(relay::Desk& desk, relay::PartnerBook& book, const Heirs& heirs);
+  void recover(relay::Desk& assembly, relay::PartnerBook& registry, const Heirs& handlers);
 
   journal::Keeper& keeper() { return *keeper_; }
   const journal::Keeper& keeper() const { return *keeper_; }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -10,7 +10,7 @@
 namespace cedarplank::node {
 
 Node::Node(loop::Loop& loop, config::RelaySettings settings, LogSink log, DeciderMaker decider, bool serve,
-           const Heir& heir)
+           const Heir& recovery)
     : loop_(loop), settings_(std::move(settings)), log_(std::move(log)) {
   core_log_.sink = log_;
   // First of all, so that a start that fails because the folder cannot be locked or read has no other effect.
@@ -108,14 +108,14 @@
   list_->start();
   if (journal_) {
     journal_->recover(*desk_, book_,
-                      {.held = [this, &heir](MessageId id, const std::string& owner) -> relay::Answers& {
-                         if (auto* to = heir.held ? heir.held(id, owner) : nullptr) return *to;
+                      {.held = [this, &recovery](MessageId id, const std::string& owner) -> relay::Answers& {
+                         if (auto* to = recovery.held ? recovery.held(id, owner) : nullptr) return *to;
                          if (smpp_ && smpp_->restore(id, owner)) return *smpp_;
                          return front_ ? static_cast<relay::Answers&>(*front_) : nobody_;
                        },
                        .answered =
-                           [this, &heir](const journal::record::Answered& a) {
-                             if (heir.answered) heir.answered(a);
+                           [this, &recovery](const journal::record::Answered& a) {
+                             if (recovery.answered) recovery.answered(a);
                              if (smpp_)
                                smpp_->owed(a.id, a.owner, static_cast<sms::Receipt::State>(a.verdict),
                                            a.come_back);
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -32,7 +32,7 @@
   };
   // Throws ConfigError, std::system_error or std::runtime_error if it cannot start.
   Node(loop::Loop& loop, config::RelaySettings settings, LogSink log,
-       DeciderMaker decider = relay::make_dispatcher, bool serve = true, const Heir& heir = {});
+       DeciderMaker decider = relay::make_dispatcher, bool serve = true, const Heir& recovery = {});
   ~Node();
 
   // The addresses on which the HTTP/2 and the SMPP server listen; empty if there is none.
