--- a/src/journal/image.cpp
+++ b/src/journal/image.cpp
@@ -5,7 +5,7 @@
 namespace cedarplank::journal {
 namespace {
 
-// About what it takes in the log.
+// Approximate size of the record in the log.
 std::size_t size_of(const record::Answered& a) {
   return 100 + a.message_class.size() + a.last.size() + a.destination.size() + a.tenant.size() +
          a.idempotency_key.size() + a.owner.size();
@@ -20,15 +20,15 @@
 }  // namespace
 
 void Image::apply(Sequence sequence, const Record& record) {
-  // A record may be older than the one before it in the clock of another run only before its Base.
+  // A Base sets the time itself: a new run's clock may be behind the clock of the run before.
   if (!std::holds_alternative<record::Base>(record.what)) last_at_ = std::max(last_at_, record.at);
   std::visit([&](const auto& r) { on(sequence, record.at, r); }, record.what);
 }
 
-void Image::place(Sequence& at, Sequence sequence, Place what) {
-  places_.erase(at);
-  at = sequence;
-  places_[sequence] = std::move(what);
+void Image::place(Sequence& current, Sequence sequence, Place item) {
+  places_.erase(current);
+  current = sequence;
+  places_[sequence] = std::move(item);
 }
 
 void Image::on(Sequence s, Time at, const record::Base& r) {
@@ -46,7 +46,7 @@
     for (auto& [id, h] : health_) h.first.since += r.shift;
   }
   base_ = r, last_at_ = at;
-  // Carried on its shift is done with: see carried().
+  // The shift has been applied; a rewritten Base must not apply it again (see carried()).
   base_.shift = 0;
   next_id_ = std::max(next_id_, r.next_id);
   place(base_first_, s, {Kind::base, 0, {}});
@@ -141,11 +141,11 @@
 
 void Image::on(Sequence s, Time at, const record::Told& r) {
   auto& w = waits_[r.endpoint];
-  // A told wait is never shortened. The same one again is it written anew, and has its place there then.
+  // A told wait is never shortened. A record with the same end is a rewrite, and the item then depends on it.
   if (w.second != 0 && w.first.until > r.until) return;
   w.first = r;
   place(w.second, s, {Kind::wait, 0, r.endpoint});
-  // Waits that are over are forgotten by and by.
+  // Drops at most one expired wait per record.
   if (const auto first = waits_.begin(); first->second.first.until <= at) {
     places_.erase(first->second.second);
     waits_.erase(first);
--- a/src/journal/image.hpp
+++ b/src/journal/image.hpp
@@ -1,7 +1,7 @@
-// What a journal's records come to: the messages held, the answers kept, the waits and outages known. The
-// same fold runs while records are written and when they are read again, so that what is recovered is what
-// was there. Also tells which records are still needed, and writes an item anew in one record, so that the
-// log's beginning can move on. Free of I/O and clock.
+// Materialized state of a journal: the messages held, the answers kept, and the waits and outages of
+// endpoints. Records are applied the same way when they are written and when they are read after a restart,
+// so the recovered state equals the state before. Also tracks which records are still needed and can express
+// an item in one new record, so that the beginning of the log can be released. Free of I/O and clock.
 #pragma once
 
 #include <cstdint>
@@ -15,65 +15,73 @@
 
 namespace cedarplank::journal {
 
-using Sequence = std::uint64_t;  // of a record in the log, from 1
+using Sequence = std::uint64_t;  // number of a record in the log, from 1
 
 class Image {
  public:
+  // A message without a final answer.
   struct Held {
-    record::Taken now;  // with all that was done for it so far
-    Sequence first = 0;
+    record::Taken now;   // with the state of its attempts
+    Sequence first = 0;  // the oldest record that is needed for it
   };
+  // A final answer that is kept until it is delivered or its time is up.
   struct Answer {
     record::Answered is;
-    Sequence first = 0;
+    Sequence first = 0;  // the record that holds it
   };
 
-  // Records in the order of their sequence. Any record may come again after a crash, and any may speak of a
-  // message that is no longer known: it is passed over then.
+  // Applies records in the order of their sequence. After a crash a record may repeat an earlier one; records
+  // about messages that are no longer known are skipped.
   void apply(Sequence sequence, const Record& record);
 
   const std::map<MessageId, Held>& held() const { return held_; }
   const std::map<MessageId, Answer>& answers() const { return answers_; }
-  // Ends of messages whose answer was handed over: nothing is owed, but a copy of the message is known by
-  // them.
+  // A final answer that was delivered. Nothing more is to be sent; it is remembered so that a repeat of the
+  // message is recognized.
   struct End {
     std::string owner;
     record::Verdict verdict = record::Verdict::failed;
-    Time come_back = 0, until = 0;  // remembered until then
+    Time come_back = 0, until = 0;  // `until`: remembered until then
     std::uint64_t fingerprint = 0;
     Sequence first = 0;
     record::Answered as_record(MessageId id) const;
   };
   const std::map<MessageId, End>& remembered() const { return remembered_; }
-  // Forgets those whose time is over, and the oldest ones beyond so many bytes. Needs no record: read again
-  // from the log they are forgotten again.
+  // Forgets delivered answers whose time is up, and the oldest ones beyond `bytes_max`. Writes no record:
+  // after a restart they are read from the log and forgotten again.
   void forget_ends(Time now, std::size_t bytes_max);
   const std::map<EndpointId, std::pair<record::Told, Sequence>>& waits() const { return waits_; }
   const std::map<EndpointId, std::pair<record::Seen, Sequence>>& health() const { return health_; }
   const record::Base& base() const { return base_; }
-  Time last_at() const { return last_at_; }  // of the newest record, in the last base's clock
+  Time last_at() const { return last_at_; }  // time of the newest record, in the clock of the last Base
   MessageId next_id() const { return next_id_; }
 
-  // The message that a client named so: held, or with an answer kept. Names compare as they are.
+  // The message with this idempotency key that is held or whose answer is kept. Keys are compared byte by
+  // byte.
   std::optional<MessageId> find(const std::string& tenant, const std::string& destination,
                                 const std::string& key) const;
 
-  // The oldest record that is needed, and the item alone in one record: its place is the new record's then.
-  // 0: none is.
+  // The oldest record that is still needed; 0: none.
   Sequence oldest() const { return places_.empty() ? 0 : places_.begin()->first; }
+  // The item of the oldest needed record, complete in one new record. Once that is written and applied, the
+  // item depends on the new record only. Needs oldest() != 0.
   Record carried(Time now) const;
-  // The oldest answer whose time is over by `now`, or which is one too many or too much; 0: none.
+  // The kept answer that expires first, if its time is up or the answers exceed a limit; 0: none.
   MessageId outlived(Time now, std::size_t answers_max, std::size_t bytes_max) const;
   std::size_t items() const { return places_.size(); }
-  std::size_t bytes() const { return answer_bytes_ + held_bytes_ + end_bytes_; }  // in the log, about
+  // Approximate size in the log of all that is needed.
+  std::size_t bytes() const { return answer_bytes_ + held_bytes_ + end_bytes_; }
 
  private:
   enum class Kind { base, held, answer, end, wait, health };
+  // An item of the state: id or endpoint is set, depending on the kind.
   using Place = std::tuple<Kind, MessageId, EndpointId>;
-  using Name = std::tuple<std::string, std::string, std::string>;
-  void place(Sequence& at, Sequence sequence, Place what);
+  using Name = std::tuple<std::string, std::string, std::string>;  // tenant, destination, idempotency key
+  // Records that `item` now depends on the record `sequence` instead of `current`, and updates `current`.
+  void place(Sequence& current, Sequence sequence, Place item);
   void drop_held(MessageId id);
   void drop_answer(MessageId id);
+  // Adds a delivered answer.
   void remember(Sequence s, const record::Answered& answer);
   void drop_end(MessageId id);
   void on(Sequence s, Time at, const record::Base& r);
@@ -89,13 +97,13 @@
   std::map<MessageId, Held> held_;
   std::map<MessageId, Answer> answers_;
   std::map<MessageId, End> remembered_;
-  std::deque<std::pair<Time, MessageId>> remembered_until_;  // in the order of their records
+  std::deque<std::pair<Time, MessageId>> remembered_until_;  // in the order in which they were added
   std::map<EndpointId, std::pair<record::Told, Sequence>> waits_;
   std::map<EndpointId, std::pair<record::Seen, Sequence>> health_;
   std::map<Name, MessageId> names_;
-  std::map<std::pair<Time, MessageId>, char> ends_;                // of kept answers
-  std::map<Sequence, Place> places_;                               // what needs which record, oldest first
-  std::size_t answer_bytes_ = 0, held_bytes_ = 0, end_bytes_ = 0;  // about
+  std::map<std::pair<Time, MessageId>, char> ends_;  // kept answers by expiry; the value is unused
+  std::map<Sequence, Place> places_;                 // items by the record that they need
+  std::size_t answer_bytes_ = 0, held_bytes_ = 0, end_bytes_ = 0;  // approximate
   record::Base base_;
   Sequence base_first_ = 0;
   Time last_at_ = 0;
--- a/src/journal/keeper.cpp
+++ b/src/journal/keeper.cpp
@@ -7,7 +7,7 @@
 namespace cedarplank::journal {
 namespace {
 
-constexpr std::uint64_t kMarkEvery = 64 * 1024;  // bytes
+constexpr std::uint64_t kMarkEvery = 64 * 1024;  // bytes between two entries of marks_
 
 }  // namespace
 
@@ -22,7 +22,7 @@
   last_ = s != 0 ? s : last_ + 1;
   image_.apply(last_, record);
   if (s == 0)
-    fail("the journal takes no more records");
+    fail("the log accepts no more records");
   else
     count(s, size);
   return s;
@@ -35,7 +35,7 @@
 }
 
 void Keeper::found(Sequence sequence, std::size_t bytes) {
-  last_ = durable_ = sequence;  // opening the log made it so
+  last_ = durable_ = sequence;  // opening the log made it durable
   count(sequence, bytes);
 }
 
@@ -53,7 +53,7 @@
 
 void Keeper::durable(Sequence upto) {
   durable_ = std::max(durable_, upto);
-  // One by one: what goes on may come back here, to cancel what waits behind it.
+  // One by one, because an action may call back and cancel others that wait.
   while (!waiting_.empty() && waiting_.begin()->first <= durable_) {
     auto w = std::move(waiting_.begin()->second);
     waiting_.erase(waiting_.begin());
@@ -76,14 +76,15 @@
 void Keeper::tell_overdue(Time now) {
   std::vector<std::function<void()>> overdue;
   for (auto it = waiting_.begin(); it != waiting_.end();) {
-    const bool told = it->second.kind == Waiting::Kind::word && it->second.due != 0 && it->second.due <= now;
-    if (told) overdue.push_back(std::move(it->second.go));
-    it = told ? waiting_.erase(it) : std::next(it);
+    const bool late = it->second.kind == Waiting::Kind::word && it->second.due != 0 && it->second.due <= now;
+    if (late) overdue.push_back(std::move(it->second.go));
+    it = late ? waiting_.erase(it) : std::next(it);
   }
-  for (const auto& tell : overdue) tell();
+  for (const auto& give_answer : overdue) give_answer();
 }
 
-// Clients get their answers in time, journal or not; what may do harm twice is not sent behind its back.
+// Clients get their answers in time even without a journal. Calls whose repeat may do harm are not sent
+// without a durable record.
 void Keeper::let_go() {
   auto waiting = std::move(waiting_);
   waiting_.clear(), held_back_.clear(), endpoint_of_.clear();
@@ -101,7 +102,7 @@
   return settings_.classes[static_cast<std::size_t>(message.message_class)].effect != Effect::safe;
 }
 
-// ---- what happens ----
+// ---- messages and attempts ----
 
 void Keeper::taken(MessageId id, const std::shared_ptr<const relay::NewMessage>& message, Time deadline) {
   record::Taken r;
@@ -129,7 +130,7 @@
   }
   if (!wait) return ports_.transport.send(call);
   endpoint_of_[call.id] = call.endpoint;
-  // Time that passes until then is the message's.
+  // Time spent waiting for the record counts against the message's time left.
   wait_for(s, {Waiting::Kind::call, call.id,
                [this, call, decided = now_] {
                  relay::CallOrder order = call;
@@ -140,9 +141,9 @@
 }
 
 void Keeper::ended(const relay::CallOrder& call, const relay::Ending& ending) {
-  // The wait first: no send that is decided after it can be durable without it.
+  // The wait is written first, so that no send decided later can be durable without it.
   if (ending.told_wait > 0) write({now_, record::Told{call.endpoint, now_ + ending.told_wait}});
-  if (ending.outcome == Outcome::served) return;  // its answer says so, or another had it already
+  if (ending.outcome == Outcome::served) return;  // recorded with the answer, or the message already had one
   write(
       {now_, record::Ended{call.message_id, call.attempt, relay::proves_unrun(ending.outcome), ending.what}});
 }
@@ -156,7 +157,7 @@
   write({now_, record::Seen{s.endpoint, s.health, now_ - s.for_so_long, s.usual_rate}});
 }
 
-// ---- sends that wait ----
+// ---- held-back sends ----
 
 bool Keeper::drop_waiting(relay::CallId call) {
   const auto it = held_back_.find(call);
@@ -174,18 +175,18 @@
 
 std::vector<relay::CallId> Keeper::recall(const EndpointId& endpoint) {
   auto calls = ports_.transport.recall(endpoint);
-  std::vector<relay::CallId> mine;
+  std::vector<relay::CallId> held_back;
   for (const auto& [call, at] : endpoint_of_)
-    if (at == endpoint) mine.push_back(call);
-  for (const auto call : mine) drop_waiting(call);
-  calls.insert(calls.end(), mine.begin(), mine.end());
+    if (at == endpoint) held_back.push_back(call);
+  for (const auto call : held_back) drop_waiting(call);
+  calls.insert(calls.end(), held_back.begin(), held_back.end());
   return calls;
 }
 
 // ---- answers ----
 
 void Keeper::answered(MessageId id, record::Verdict verdict, Time come_back, const relay::Account& account,
-                      std::function<void()> hand_over) {
+                      std::function<void()> deliver) {
   record::Answered r;
   r.id = id, r.verdict = verdict, r.come_back = come_back;
   r.attempts = account.attempts, r.last = account.last;
@@ -198,12 +199,12 @@
     r.idempotency_key = m.message->idempotency_key;
     r.fingerprint = fingerprint(m.destination, m.message_class, *m.message);
   }
-  const bool asked = asked_for_.erase(id) > 0;
-  if (asked || !r.idempotency_key.empty() || !r.owner.empty()) r.until = now_ + settings_.answers_for;
+  const bool keep = asked_for_.erase(id) > 0;
+  if (keep || !r.idempotency_key.empty() || !r.owner.empty()) r.until = now_ + settings_.answers_for;
   if (settings_.ends_for > 0 && !r.owner.empty()) r.remember = now_ + settings_.ends_for;
   const Sequence s = write({now_, std::move(r)});
-  if (s == 0 || stalled_ || !waits_.answers) return hand_over();
-  wait_for(s, {Waiting::Kind::word, 0, std::move(hand_over), due});
+  if (s == 0 || stalled_ || !waits_.answers) return deliver();
+  wait_for(s, {Waiting::Kind::word, 0, std::move(deliver), due});
 }
 
 void Keeper::served(MessageId id, const relay::Ending& ending) {
@@ -234,34 +235,34 @@
   answered(id, verdict, 0, account, [] {});
 }
 
-// ---- keeping the log short ----
+// ---- compaction ----
 
-bool Keeper::tidy(Time now, std::size_t most, bool pressed) {
+bool Keeper::tidy(Time now, std::size_t max_items, bool low_on_space) {
   at(now);
   std::size_t done = 0;
-  while (done < most && !failed_) {
-    const MessageId over = image_.outlived(now_, settings_.answers_max, settings_.answers_bytes);
-    if (over == 0) break;
-    write({now_, record::Gone{over}}), done++;
+  while (done < max_items && !failed_) {
+    const MessageId expired = image_.outlived(now_, settings_.answers_max, settings_.answers_bytes);
+    if (expired == 0) break;
+    write({now_, record::Gone{expired}}), done++;
   }
   image_.forget_ends(now_, static_cast<std::size_t>(settings_.window / 3));
-  // Records before this one are more than the window old.
+  // Records before this one are older than the window.
   Sequence keep_from = 0;
   while (marks_.size() > 1 && written_ - marks_[1].second > settings_.window) marks_.pop_front();
   if (!marks_.empty() && written_ - marks_.front().second > settings_.window)
     keep_from = marks_.front().first;
-  // Nothing more is taken while the log is short of room, so the window would never move on. All that is
-  // needed is written anew, where that is little and would halve the log at least.
-  if (pressed && image_.oldest() >= anew_to_ && image_.bytes() < settings_.window) {
-    std::uint64_t before = 0;  // bytes written before the oldest that is needed
+  // While the log is short of space no new messages are accepted, so the window would never advance. All that
+  // is needed is rewritten then, if it is smaller than the window and rewriting would at least halve the log.
+  if (low_on_space && image_.oldest() >= anew_to_ && image_.bytes() < settings_.window) {
+    std::uint64_t before = 0;  // bytes written before the oldest needed record
     for (const auto& [s, bytes] : marks_)
       if (s <= image_.oldest()) before = bytes;
     if (written_ - before > 2 * image_.bytes() + kMarkEvery) anew_to_ = last_ + 1;
   }
   keep_from = std::max(keep_from, anew_to_);
-  while (done < most && !failed_ && image_.oldest() != 0 && image_.oldest() < keep_from)
+  while (done < max_items && !failed_ && image_.oldest() != 0 && image_.oldest() < keep_from)
     write(image_.carried(now_)), done++;
-  // What was written anew must be durable before the old is given up.
+  // Rewritten records must be durable before the old ones are released.
   const Sequence needed = image_.oldest();
   if (needed > released_ + 1 && !failed_) {
     released_ = needed - 1;
@@ -271,7 +272,7 @@
     else
       wait_for(last_, {Waiting::Kind::release, 0, [this, after] { ports_.release(after); }, 0});
   }
-  return done >= most;
+  return done >= max_items;
 }
 
 }  // namespace cedarplank::journal
--- a/src/journal/keeper.hpp
+++ b/src/journal/keeper.hpp
@@ -1,19 +1,29 @@
-// What a relay writes to its journal, when, and what waits for it. Stands between the core and the outside:
-// sends, answers and acknowledgements that must not be seen before a record is durable wait here. Free of I/O
-// and clock: records go to a log and come back as durable through ports.
+// Coordinator of the write-ahead journal: decides what a relay writes to its journal and when, and holds back
+// what depends on it. Stands between the core and the outside: sends, answers and acknowledgements that must
+// not be seen before a record is durable wait here. Free of I/O and clock: records go to a log, and become
+// durable, through ports.
 //
-// | record   | written when                      | what waits until it is durable | | taken    | a message is
-// taken                | word to the client that the relay has it                   | | sending  | the module
-// sends an attempt       | the bytes of it, where a repeat may do harm: else a crash   | |          | | would
-// leave an attempt that nobody knows of (rule 2)        | | ended    | an attempt has its outcome        |
-// nothing: without it the attempt is in doubt, which is safe  | | answered | a final answer is due | the
-// answer: else a crash could give a second one, and send  | |          |                                   |
-// after the first (rule 1)                                   | | gone     | withdrawn, or no longer kept |
-// nothing                                                    | | told     | a destination told us to wait |
-// nothing can; and no send to it is decided before it is      | |          | | written, so that none is
-// durable without it (rule 6)        | | seen     | the module sees an outage or its  | nothing | | | end | |
+// For each record: when it is written, and what waits until it is durable.
 //
-// Durable means all records up to that one: what is written earlier is never lost alone.
+// - taken: a message is accepted.
+//   Waits: the acknowledgement to the client that the relay has the message.
+// - sending: the module sends an attempt.
+//   Waits: the attempt's bytes, where a repeat may do harm. Otherwise a crash would leave an attempt that
+//   nobody knows of (rule 2).
+// - ended: an attempt has its outcome.
+//   Waits: nothing. Without the record the attempt counts as one that may have taken effect, which is safe.
+// - answered: a final answer is due.
+//   Waits: the answer. Otherwise a crash could lead to a second answer, and to a send after
+//   the first (rule 1).
+// - gone: the client cancelled the message, or its answer is no longer kept.
+//   Waits: nothing.
+// - told: a destination told the relay to wait.
+//   Waits: nothing can. No send to it is decided before the record is written, so no such send is durable
+//   without it (rule 6).
+// - seen: the module sees an outage or its end.
+//   Waits: nothing.
+//
+// Durable means that all records up to that one are durable: no record is lost while a later one survives.
 #pragma once
 
 #include <deque>
@@ -31,20 +41,22 @@
 struct KeeperSettings {
   std::vector<ClassSettings> classes;
   std::vector<std::string> class_names, tenant_names;
-  Time answers_for = 3'600'000'000;                              // how long final answers are kept
-  std::size_t answers_max = 100'000, answers_bytes = 128 << 20;  // beyond them the oldest goes
-  // How long ends of messages with an owner are remembered, once their answer is handed over; as far as they
-  // fit into a third of the window.
+  Time answers_for = 3'600'000'000;  // how long final answers are kept
+  // Limits on kept answers; beyond them the oldest is dropped.
+  std::size_t answers_max = 100'000, answers_bytes = 128 << 20;
+  // How long delivered answers of messages with an owner are remembered, as far as they fit into a third of
+  // the window; 0: not at all.
   Time ends_for = 0;
-  std::uint64_t window =
-      512ull << 20;  // bytes of records: what is still needed of older ones is written anew
+  // Bytes of records. Items that still need older records are rewritten.
+  std::uint64_t window = 512ull << 20;
 };
 
-// What waits for which record. Another table than this one is for tests that show what breaks then.
+// Which actions wait for their record. All are on in production; tests switch single ones off to show what
+// breaks without them.
 struct WaitsFor {
-  bool risky_sends = true;      // for `sending`, of classes where a repeat may do harm
-  bool answers = true;          // for `answered`
-  bool acknowledgement = true;  // for `taken`
+  bool risky_sends = true;      // sends wait for `sending`, for classes where a repeat may do harm
+  bool answers = true;          // final answers wait for `answered`
+  bool acknowledgement = true;  // acknowledgements wait for `taken`
 };
 
 class Keeper final : public relay::Transport, public relay::Answers, public relay::Witness {
@@ -52,58 +64,64 @@
   struct Ports {
     relay::Transport& transport;
     relay::Answers& answers;
-    std::function<std::string(DestinationId)> destination;
-    // Numbers the record; 0: it can't be written any more.
+    std::function<std::string(DestinationId)> destination;  // its name
+    // Returns the record's number; 0: the log accepts no more records.
     std::function<Sequence(std::string bytes)> append;
-    std::function<void(Sequence upto)> release;  // records up to it are no longer needed
-    // A send that was held back will never leave. Not called from within send().
+    std::function<void(Sequence upto)> release;  // records up to `upto` are no longer needed
+    // A held-back call will never be sent. send() may call this, so the core must be informed later, outside
+    // of its own round.
     std::function<void(relay::CallId, relay::Ending)> unsent;
   };
   Keeper(KeeperSettings settings, Image image, Ports ports, WaitsFor waits = {});
 
-  // What the log holds already, with its heads, one record after the other: it counts for the window too.
-  // Guards against a relay that is started again and again, whose log would grow by a window each time.
+  // Counts a record that the log already holds, with its header, towards the window; called for each in
+  // order. Otherwise the log of a relay that is restarted again and again would grow by a window at each
+  // start.
   void found(Sequence sequence, std::size_t bytes);
+  // Writes the Base of this run. To be called once, after found() and before any other record.
   void begin(const record::Base& base, Time now);
-  // All records up to this one are durable: what waited for them goes on.
+  // All records up to this one are durable. Runs what waited for them.
   void durable(Sequence upto);
-  // The journal takes no more. Answers are given without it from now on; sends that may do harm twice are not
-  // made any more, since nobody would know of them after a crash.
+  // The journal accepts no more records. From now on answers are given without it. Attempts whose repeat may
+  // do harm are no longer sent, because nobody would know of them after a crash.
   void fail(const std::string& why);
-  // Nothing becomes durable for now, though it may again: as after fail(), but records go on to be written.
+  // Nothing becomes durable for now, but it may later. Acts as fail() does, but records are still written.
   void stall(bool stalled);
   bool failed() const { return failed_; }
-  // While nothing becomes durable for now: answers whose message's time is up are told without their record.
-  // A start that finds such a message held sends nothing for it any more, since its time is up then too;
-  // every other answer waits, since a start would send the message again after it had been told (rule 1).
+  // While nothing becomes durable: gives the answers of messages past their deadline without waiting for
+  // their record. If a restart still finds such a message held, it sends nothing more for it, because its
+  // deadline has passed. Every other answer waits, because a restart would send the message again after it
+  // had been answered (rule 1).
   void tell_overdue(Time now);
-  // Whether an answer with this record may be told: nobody who asks hears it before its own client may.
+  // Whether an answer with this record may be given. A request for the answer must not get it earlier than
+  // the message's own client may.
   bool may_be_told(Sequence s) const { return failed_ || stalled_ || !waits_.answers || s <= durable_; }
   const std::string& why_failed() const { return why_; }
-  // Nothing waits for the journal.
+  // True when nothing waits for the journal.
   bool settled() const { return waiting_.empty(); }
 
-  // Runs `then` when what was taken as `id` is durable; at once where it is. Not at all once it has its
-  // answer.
+  // Runs `then` when the record that the message was accepted is durable; at once if it already is, or if the
+  // message is not held.
   void when_taken(MessageId id, std::function<void()> then);
-  // Its answer is kept, where it has a key or `fetched`: someone may ask for it later.
+  // The answer of this message is to be kept even if it has no idempotency key, for later requests.
   void keep_answer(MessageId id) {
     if (image_.held().count(id) > 0) asked_for_.insert(id);
   }
-  // A kept answer was handed over for good.
+  // A kept answer was delivered and need not be kept any more.
   void handed_over(MessageId id);
 
-  // Ends a message of an earlier run whose class is gone from the settings: no one else can decide of it.
+  // Ends a message of an earlier run whose class is no longer in the settings: without its class nothing else
+  // can decide about it.
   void end_classless(MessageId id);
 
-  // Forgets what is over and writes anew what is old, at most `most` items; to be called now and then. True
-  // where more is left to do. `pressed`: the log is short of room, and what can be given up is, window or
-  // not.
-  bool tidy(Time now, std::size_t most, bool pressed = false);
+  // Drops expired answers, rewrites items that need old records, and releases the records before. Handles at
+  // most `max_items` items; to be called periodically. Returns true if more may be left to do.
+  // `low_on_space`: the log is short of space, so records are released even within the window.
+  bool tidy(Time now, std::size_t max_items, bool low_on_space = false);
 
-  // Goes on with what is done when the journal has failed: it answers who asks.
+  // The current state. Still updated after the journal has failed, so requests can be answered from it.
   const Image& image() const { return image_; }
-  std::uint64_t written() const { return written_; }  // bytes, with what was found
+  std::uint64_t written() const { return written_; }  // bytes, including records that were found
   // relay::Witness
   void at(Time now) override { now_ = std::max(now_, now); }
   void taken(MessageId id, const std::shared_ptr<const relay::NewMessage>& message, Time deadline) override;
@@ -124,18 +142,22 @@
   void failed(MessageId id, const relay::Account& account) override;
 
  private:
+  // An action that waits for a record to be durable.
   struct Waiting {
-    enum class Kind { word, call, release } kind = Kind::word;  // word: to a client
+    enum class Kind { word, call, release } kind = Kind::word;  // word: an answer or acknowledgement
     relay::CallId call = 0;
     std::function<void()> go;
-    Time due = 0;  // of an answer: when its message's time is up; 0: it has none
+    Time due = 0;  // deadline of the message, for an answer; 0: none
   };
+  // Encodes, appends and applies the record. Returns its number, or 0 once the journal has failed.
   Sequence write(Record record);
   void count(Sequence sequence, std::size_t bytes);
+  // Ends all waiting when the journal fails or stalls: answers are given, calls are refused.
   void let_go();
   void answered(MessageId id, record::Verdict verdict, Time come_back, const relay::Account& account,
                 std::function<void()> hand_over);
   void wait_for(Sequence s, Waiting w);
+  // Removes a held-back call. False where it is not held back.
   bool drop_waiting(relay::CallId call);
   bool risky(const relay::NewMessage& message) const;
 
@@ -144,13 +166,13 @@
   Ports ports_;
   const WaitsFor waits_;
   std::multimap<Sequence, Waiting> waiting_;
-  std::map<relay::CallId, std::multimap<Sequence, Waiting>::iterator> held_back_;  // calls in it
-  std::map<relay::CallId, EndpointId> endpoint_of_;                                // of those
-  std::set<MessageId> asked_for_;
-  std::deque<std::pair<Sequence, std::uint64_t>> marks_;  // bytes written up to a record, now and then
+  std::map<relay::CallId, std::multimap<Sequence, Waiting>::iterator> held_back_;  // calls in `waiting_`
+  std::map<relay::CallId, EndpointId> endpoint_of_;                                // of those calls
+  std::set<MessageId> asked_for_;                                                  // their answers are kept
+  std::deque<std::pair<Sequence, std::uint64_t>> marks_;  // samples of `written_` by record
   std::uint64_t written_ = 0;                             // bytes
   Sequence durable_ = 0, released_ = 0, last_ = 0;
-  Sequence anew_to_ = 0;  // while pressed: all before it is written anew
+  Sequence anew_to_ = 0;  // when low on space: items that need earlier records are rewritten
   std::string why_;
   Time now_ = 0;
   bool failed_ = false, stalled_ = false;
--- a/src/journal/records.cpp
+++ b/src/journal/records.cpp
@@ -9,11 +9,12 @@
 namespace cedarplank::journal {
 namespace {
 
-void put(pb::Attempt& to, const Attempt& a) {
+void to_pb(pb::Attempt& to, const Attempt& a) {
   to.set_number(a.number), to.set_endpoint(a.endpoint), to.set_zone(a.zone), to.set_at(a.at);
 }
-Attempt take(const pb::Attempt& a) { return {a.number(), a.endpoint(), a.zone(), a.at()}; }
+Attempt from_pb(const pb::Attempt& a) { return {a.number(), a.endpoint(), a.zone(), a.at()}; }
 
+// Visitor that fills the protobuf record.
 struct Encoder {
   pb::Record& to;
   void operator()(const record::Base& r) const {
@@ -30,11 +31,11 @@
     p.set_urgency(m.urgency), p.set_recipient(m.recipient), p.set_sender(m.sender), p.set_body(m.body);
     p.set_deadline(r.deadline), p.set_owner(m.owner), p.set_attempts(r.attempts), p.set_ran(r.ran);
     p.set_ran_zone(r.ran_zone), p.set_ran_at(r.ran_at), p.set_last(r.last);
-    for (const auto& a : r.out) put(*p.add_out(), a);
+    for (const auto& a : r.out) to_pb(*p.add_out(), a);
   }
   void operator()(const record::Sending& r) const {
     auto& p = *to.mutable_sending();
-    p.set_id(r.id), put(*p.mutable_attempt(), r.attempt);
+    p.set_id(r.id), to_pb(*p.mutable_attempt(), r.attempt);
   }
   void operator()(const record::Ended& r) const {
     auto& p = *to.mutable_ended();
@@ -60,7 +61,8 @@
   void operator()(const record::Other&) const {}
 };
 
-record::Taken taken_of(pb::Taken& p) {
+// Moves the body out of `p`.
+record::Taken taken_from_pb(pb::Taken& p) {
   record::Taken r;
   auto m = std::make_shared<relay::NewMessage>();
   r.id = p.id(), r.destination = p.destination(), r.message_class = p.message_class(), r.tenant = p.tenant();
@@ -70,13 +72,14 @@
   m->body = std::move(*p.mutable_body());
   r.message = std::move(m), r.deadline = p.deadline(), r.attempts = p.attempts();
   r.ran = p.ran(), r.ran_zone = p.ran_zone(), r.ran_at = p.ran_at(), r.last = p.last();
-  for (const auto& a : p.out()) r.out.push_back(take(a));
+  for (const auto& a : p.out()) r.out.push_back(from_pb(a));
   return r;
 }
 
 using Json = rapidjson::Writer<rapidjson::StringBuffer>;
 
-struct Teller {
+// Visitor that writes a record as members of a JSON object. Empty texts are left out.
+struct JsonPrinter {
   Json& json;
   void text(const char* key, const std::string& value) const {
     if (value.empty()) return;
@@ -145,7 +148,7 @@
 
 std::string decode(std::string_view bytes, Record& record) {
   pb::Record p;
-  if (!p.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return "is no record";
+  if (!p.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return "can't be decoded";
   if (p.least_reader() > kReader)
     return "needs a program that reads version " + std::to_string(p.least_reader()) + "; this one reads " +
            std::to_string(kReader);
@@ -157,17 +160,17 @@
       return {};
     }
     case pb::Record::kTaken:
-      record.what = taken_of(*p.mutable_taken());
+      record.what = taken_from_pb(*p.mutable_taken());
       return {};
     case pb::Record::kSending:
-      record.what = record::Sending{p.sending().id(), take(p.sending().attempt())};
+      record.what = record::Sending{p.sending().id(), from_pb(p.sending().attempt())};
       return {};
     case pb::Record::kEnded:
       record.what = record::Ended{p.ended().id(), p.ended().attempt(), p.ended().unrun(), p.ended().what()};
       return {};
     case pb::Record::kAnswered: {
       const auto& a = p.answered();
-      if (a.verdict() < 0 || a.verdict() > 2) return "tells no answer that is known";
+      if (a.verdict() < 0 || a.verdict() > 2) return "has an unknown answer value";
       record.what = record::Answered{a.id(),
                                      static_cast<record::Verdict>(a.verdict()),
                                      a.come_back(),
@@ -191,7 +194,7 @@
       record.what = record::Told{p.told().endpoint(), p.told().until()};
       return {};
     case pb::Record::kSeen:
-      if (p.seen().health() < 0 || p.seen().health() > 2) return "tells no health that is known";
+      if (p.seen().health() < 0 || p.seen().health() > 2) return "has an unknown health value";
       record.what = record::Seen{p.seen().endpoint(), static_cast<action::Health>(p.seen().health()),
                                  p.seen().since(), p.seen().usual_rate()};
       return {};
@@ -231,7 +234,7 @@
   Json json(buffer);
   json.StartObject();
   json.Key("at"), json.Int64(r.at);
-  std::visit(Teller{json}, r.what);
+  std::visit(JsonPrinter{json}, r.what);
   json.EndObject();
   return buffer.GetString();
 }
--- a/src/journal/records.hpp
+++ b/src/journal/records.hpp
@@ -1,7 +1,7 @@
-// The records of a relay's journal, as the rest of the program has them: see records.proto for their form on
-// the disk. Free of I/O and state.
+// In-memory form of the journal's records, with their encoding, decoding and JSON output. The on-disk format
+// is in records.proto; structs and fields are named as there. Free of I/O and state.
 //
-// Times are in microseconds of CLOCK_MONOTONIC of the run that wrote them.
+// Times are in microseconds of CLOCK_MONOTONIC of the run that wrote the record.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +15,9 @@
 
 namespace cedarplank::journal {
 
-constexpr std::uint32_t kReader = 1;  // records up to this version are understood
+constexpr std::uint32_t kReader = 1;  // highest Record.least_reader that this program can read
 
+// One attempt to deliver a message to an endpoint.
 struct Attempt {
   int number = 0;
   EndpointId endpoint;
@@ -26,66 +27,74 @@
 
 namespace record {
 
+// First record of a run: its clocks, its number and the next message id.
 struct Base {
   std::string boot;
-  Time monotonic = 0, wall = 0;
+  Time monotonic = 0, wall = 0;  // read at the same moment
   MessageId next_id = 1;
-  Time shift = 0;
-  std::uint64_t run = 0;
+  Time shift = 0;         // to be added to all times in earlier records
+  std::uint64_t run = 0;  // from 1; 0: no run yet
 };
 
-// A message with all that was done for it so far; alone it stands for all records about it before.
+// An accepted message with the state of its attempts. Replaces all earlier records of the message.
 struct Taken {
   MessageId id = 0;
   std::string destination, message_class, tenant;
-  // Its positions of names in settings and list are the writer's alone: read again they mean nothing.
+  // Its indexes (destination, class, tenant) are valid only in the run that wrote the record. After a restart
+  // use the names above.
   std::shared_ptr<const relay::NewMessage> message;
   Time deadline = 0;
   int attempts = 0;
-  bool ran = false;
+  bool ran = false;  // an attempt may have taken effect; zone and time of the first one:
   int ran_zone = 0;
   Time ran_at = 0;
-  std::vector<Attempt> out;
-  std::string last;
+  std::vector<Attempt> out;  // sent, outcome not known yet
+  std::string last;          // outcome of the last ended attempt, as text
 };
 
+// An attempt is about to be sent.
 struct Sending {
   MessageId id = 0;
   Attempt attempt;
 };
 
+// An attempt ended without the message having been served.
 struct Ended {
   MessageId id = 0;
   int attempt = 0;
-  bool unrun = false;
-  std::string what;
+  bool unrun = false;  // proved not to have taken effect
+  std::string what;    // outcome, as text
 };
 
 enum class Verdict { served, refused, failed };
 
+// The final answer of a message.
 struct Answered {
   MessageId id = 0;
   Verdict verdict = Verdict::served;
-  Time come_back = 0;
+  Time come_back = 0;  // refused: how long the client should wait before it tries again
   std::string message_class;
   int attempts = 0;
   std::string last;
   std::string destination, tenant, idempotency_key, owner;
   std::uint64_t fingerprint = 0;
-  Time until = 0;            // 0: not kept
-  Time remember = 0;         // once handed over, its end is remembered until then; 0: not at all
-  bool handed_over = false;  // only its end is remembered
+  Time until = 0;            // the answer is kept until then; 0: not kept
+  Time remember = 0;         // once delivered, remembered until then; 0: not at all
+  bool handed_over = false;  // already delivered; only remembered
 };
 
+// The message was cancelled by the client, or its answer is no longer kept.
 struct Gone {
   MessageId id = 0;
 };
 
+// An endpoint asked to wait.
 struct Told {
   EndpointId endpoint;
   Time until = 0;
 };
 
+// The health of an endpoint as the relay sees it.
 struct Seen {
   EndpointId endpoint;
   action::Health health = action::Health::well;
@@ -93,7 +102,8 @@
   double usual_rate = 0;
 };
 
-struct Other {};  // of a later version, which says that it may be passed over
+// A record kind of a later version, marked as safe to skip.
+struct Other {};
 
 }  // namespace record
 
@@ -105,16 +115,18 @@
 };
 
 std::string encode(const Record& record);
-// Empty where the record is understood, else why not.
+// Returns an empty string on success, otherwise the reason why the record can't be read.
 std::string decode(std::string_view bytes, Record& record);
 
-// The same for the same destination, class and body: tells a repeat from another message under its key.
+// Equal for requests with the same destination, class and body. Distinguishes a repeat from a different
+// message sent under the same idempotency key.
 std::uint64_t fingerprint(const std::string& destination, const std::string& message_class,
                           const relay::NewMessage& message);
 
+// Name of the record's kind, for counts by kind.
 std::string kind_of(const Record& record);
-MessageId message_of(const Record& record);  // 0: of none
-// One line of JSON, for people and programs; the body only as its length.
+MessageId message_of(const Record& record);  // 0: not about a message
+// The record as one line of JSON. A message body is given only by its length.
 std::string text_of(const Record& record);
 
 }  // namespace cedarplank::journal
--- a/src/journal/recovery.cpp
+++ b/src/journal/recovery.cpp
@@ -4,9 +4,9 @@
 
 namespace cedarplank::journal {
 
-// Whether the monotonic clock has run on since. A boot id that could not be read says nothing: the clock
-// itself does then, since it begins anew with the machine. Guards against deadlines that go by a wall clock
-// that was stepped, where the machine is the same.
+// Whether the monotonic clock has continued since `before`. If a boot id could not be read, the clock itself
+// decides, because it restarts with the machine. Guards against deadlines computed from a stepped wall clock
+// although the machine was not rebooted.
 static bool same_boot(const record::Base& before, const Clock& now, Time last_at) {
   const bool unknown = before.boot.empty() || now.boot.empty();
   return (unknown || before.boot == now.boot) && now.monotonic >= last_at;
--- a/src/journal/recovery.hpp
+++ b/src/journal/recovery.hpp
@@ -1,4 +1,5 @@
-// From an image of the last run to what a fresh core and module are told. Free of I/O and clock.
+// Recovery after a restart: turns the state read from the journal into the messages and endpoint facts that
+// the new core and module start with. Free of I/O and clock.
 #pragma once
 
 #include <functional>
@@ -9,22 +10,22 @@
 
 namespace cedarplank::journal {
 
-// One moment, as the machine's clocks show it.
+// The machine's clocks, read at one moment.
 struct Clock {
-  std::string boot;    // of the machine: CLOCK_MONOTONIC compares within it
+  std::string boot;    // boot id of the machine; CLOCK_MONOTONIC is comparable within one boot
   Time monotonic = 0;  // CLOCK_MONOTONIC
-  Time wall = 0;       // since 1970
+  Time wall = 0;       // since 1970-01-01 UTC
 };
 
-// The first record of a run. Within one boot the monotonic clock goes on, whatever happened to the wall
-// clock. Across boots the wall clock tells how long the relay was down; one that was moved back counts as no
-// time at all, so that no message gets longer than it had when it was last heard of.
+// Makes the first record of a run. Within one boot the monotonic clock continues, whatever happened to the
+// wall clock. Across boots the wall clock tells how long the relay was down; if it was moved back, the
+// downtime counts as zero. A message never gets more time than it had left at the last record.
 record::Base begin(const Image& image, const Clock& now);
 
-// What was done for a message: attempts without an outcome may have run.
+// The attempts made for a message in earlier runs. Attempts without an outcome may have taken effect.
 relay::Before before_of(const record::Taken& message);
 
-// Positions of names in this run's settings and list; nothing where a name is no longer there.
+// Resolves names to ids and indexes of this run's settings; nothing where a class or tenant no longer exists.
 struct Places {
   std::function<DestinationId(const std::string&)> destination;
   std::function<std::optional<int>(const std::string&)> message_class;
@@ -38,10 +39,11 @@
     Time deadline = 0;
     relay::Before before;
   };
-  std::vector<Message> messages;     // as they were taken; the core and module decide of them, late ones too
-  std::vector<MessageId> classless;  // whose class is gone from the settings: nobody can decide of them
-  std::vector<event::Known> known;   // of endpoints, to be told before the messages
+  std::vector<Message> messages;     // the core and module decide about them, also those past their deadline
+  std::vector<MessageId> classless;  // their class is no longer in the settings: see Keeper::end_classless()
+  std::vector<event::Known> known;   // endpoint facts, to be passed on before the messages
 };
+// What the new run takes over at the time `now`.
 Recovered recover(const Image& image, Time now, const Places& places);
 
 }  // namespace cedarplank::journal
--- a/src/store/files.hpp
+++ b/src/store/files.hpp
@@ -1,5 +1,5 @@
-// The file system as the journal needs it: a narrow port, so that tests can make every call fail, fall short,
-// or lose what was not synced.
+// The file system operations that the log needs, as interfaces, so that tests can make every call fail or
+// fall short, or lose data that was not synced.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,17 @@
 class File {
  public:
   virtual ~File() = default;
-  // May write less than all (`written`), with or without an error.
+  // May write only a part, with or without an error; `written` tells how much.
   virtual std::error_code write(std::uint64_t at, std::string_view bytes, std::size_t& written) = 0;
   // Reads up to `size` bytes, fewer at the file's end.
   virtual std::error_code read(std::uint64_t at, std::size_t size, std::string& out) = 0;
-  virtual std::error_code sync() = 0;  // data and size (fdatasync)
-  // Room for so many bytes, read as zeros until written.
+  virtual std::error_code sync() = 0;  // makes data and size durable (fdatasync)
+  // Allocates `size` bytes on the device. They read as zeros until written.
   virtual std::error_code allocate(std::uint64_t size) = 0;
   virtual std::error_code size(std::uint64_t& out) = 0;
 };
 
-// One folder.
+// The files of one folder.
 class Files {
  public:
   virtual ~Files() = default;
@@ -33,13 +33,13 @@
   virtual std::error_code list(std::vector<std::string>& names) = 0;
   virtual std::error_code rename(const std::string& from, const std::string& to) = 0;
   virtual std::error_code remove(const std::string& name) = 0;
-  virtual std::error_code sync_folder() = 0;  // names are durable after it
+  virtual std::error_code sync_folder() = 0;  // makes file names durable
 };
 
-// A folder of the machine's, made where it is missing and locked for this process while the object lives.
-// Throws std::system_error naming the folder; std::errc::resource_unavailable_try_again where another process
-// has it.
-enum class Folder { made, existing };
+// Opens a folder of the file system, creates it if it is missing and asked for, and locks it for this process
+// while the object lives. Throws std::system_error that names the folder;
+// std::errc::resource_unavailable_try_again if another process holds the lock.
+enum class Folder { made, existing };  // made: created if missing
 std::unique_ptr<Files> open_folder(const std::string& path, Folder how = Folder::made);
 
 }  // namespace cedarplank::store
--- a/src/store/inspect.cpp
+++ b/src/store/inspect.cpp
@@ -33,8 +33,8 @@
 Salvaged salvage(Files& files, const std::function<void(Sequence, std::string_view)>& record,
                  Unreadable unreadable) {
   Salvaged out;
-  const auto fail = [&](LogProblem::What what, std::string text) {
-    out.problem = LogProblem{what, std::move(text)};
+  const auto fail = [&](LogProblem::What kind, std::string text) {
+    out.problem = LogProblem{kind, std::move(text)};
     return out;
   };
   std::vector<std::string> names;
@@ -54,8 +54,8 @@
     if (head && head->version > Log::kVersion && newer.empty()) newer = name;
     if (head && !id) id = head->id;
   }
-  if (!newer.empty()) return fail(LogProblem::What::newer, newer + ": of a later version");
-  if (!id) return fail(LogProblem::What::not_a_log, "no segment's head can be read");
+  if (!newer.empty()) return fail(LogProblem::What::newer, newer + ": written by a later version");
+  if (!id) return fail(LogProblem::What::not_a_log, "no segment has a readable header");
   out.id = *id;
   Sequence next = 0;
   for (const auto& name : names) {
@@ -67,9 +67,10 @@
     if (next == 0) next = *Log::first_of(name);
     for (std::size_t at = Log::kSegmentHead; at + Log::kHead <= view.size();) {
       const auto r = Log::read_at(view, at, *id);
-      // What an earlier use of the segment left has lower numbers.
+      // Records left by an earlier use of the segment have lower numbers.
       if (!r.found || r.sequence < next) {
-        // Most of an allocated segment is zeros; a record's first byte, of its length, need not be any other.
+        // Most of an allocated segment is zeros, so skip to the next non-zero byte. A record begins with its
+        // 4-byte length, whose first bytes may be zero, so go back by 4.
         const auto zeros = view.find_first_not_of('\0', at + 1);
         at = zeros == std::string_view::npos ? view.size() : std::max(at + 1, zeros < 4 ? 0 : zeros - 4);
         continue;
--- a/src/store/inspect.hpp
+++ b/src/store/inspect.hpp
@@ -1,31 +1,36 @@
-// Reading a log without changing it: what is in it, and what of a damaged one can still be read.
+// Read-only access to a log: its contents, and the records of a damaged log that can still be read.
 #pragma once
 
 #include "store/log.hpp"
 
 namespace cedarplank::store {
 
+// What a log contains.
 struct Inspected {
   std::uint32_t version = 0;  // of the format
-  std::uint64_t id = 0;
+  std::uint64_t id = 0;       // of the log
   std::size_t segments = 0, spare = 0;
-  std::uint64_t bytes = 0;  // of records with their heads
-  Sequence first = 1, next = 1;
-  std::uint64_t torn = 0;  // bytes of a torn tail, which the next start cuts
+  std::uint64_t bytes = 0;       // of records with their headers
+  Sequence first = 1, next = 1;  // records first to next - 1 are there
+  std::uint64_t torn = 0;        // bytes of a torn tail, which the next start clears
   std::optional<LogProblem> problem;
 };
+// Reads every record in order, up to the first that can't be read.
 Inspected inspect(Files& files, const std::function<void(Sequence, std::string_view)>& record);
 
+// What could be read of a damaged log.
 struct Salvaged {
   std::uint64_t id = 0;  // of the log
   std::uint64_t records = 0;
-  Sequence above = 1;  // every number that may stand in the segments, read or not, is below it
-  std::vector<std::pair<Sequence, Sequence>> lost;  // numbers that can't be read, from and to
-  std::optional<LogProblem> problem;                // nothing could be read at all
+  // Greater than every record number that the segments may contain, readable or not.
+  Sequence above = 1;
+  std::vector<std::pair<Sequence, Sequence>> lost;  // first and last number of each unreadable range
+  std::optional<LogProblem> problem;                // set if nothing could be read at all
 };
-// Every record that can still be read, in order, past whatever damage. Segments whose head is damaged are
-// read by the id of the others. `unreadable`: whether the records of a segment that the system can't read now
-// are lost, or that is a problem (LogProblem::What::io), since it may be able to later.
+// Reads every record that can still be read, in order, skipping damaged parts. Segments with a damaged header
+// are read with the log id of the others. `unreadable`: whether the records of a segment whose file can't be
+// read now count as lost, or the call ends with a problem (LogProblem::What::io), because reading may succeed
+// later.
 enum class Unreadable { lost, problem };
 Salvaged salvage(Files& files, const std::function<void(Sequence, std::string_view)>& record,
                  Unreadable unreadable = Unreadable::lost);
--- a/src/store/log.cpp
+++ b/src/store/log.cpp
@@ -9,7 +9,7 @@
 namespace cedarplank::store {
 namespace {
 
-constexpr char kMagic[] = "cedarplank log\n";  // 16 bytes with its zero
+constexpr char kMagic[] = "cedarplank log\n";  // 16 bytes with its terminating zero
 constexpr char kPrefix[] = "log-", kSpare[] = "spare-", kNew[] = "new-segment";
 
 template <class T>
@@ -24,7 +24,8 @@
   return v;
 }
 
-// Length 4, reserved 4, sequence 8, durable 8, checksum 8 of what stands before it and the bytes.
+// Checksum of a record. The record header is, in bytes: length 4, reserved 4, sequence 8, durable 8, and 8
+// for this checksum, which covers the fields before it and the record's bytes.
 std::uint64_t checksum(std::uint64_t id, std::string_view head, std::string_view bytes) {
   const auto first = XXH3_64bits_withSeed(head.data(), head.size(), id);
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), first);
@@ -69,7 +70,8 @@
   return head;
 }
 
-// Whatever length it says is read, within the segment: the bound on records may have been another then.
+// Accepts any length within the segment, because the limit on record size may have been different when the
+// record was written.
 Log::Read Log::read_at(std::string_view segment, std::size_t at, std::uint64_t id) {
   Read r;
   if (at + kHead > segment.size()) return r;
@@ -83,19 +85,18 @@
   return r;
 }
 
-// Whether a later record says that `broken` had been durable when it was written. Without it the break is
-// that of a commit that never ended, of which any part may be on the disk.
+// Whether a later record in the segment says that `broken` had been durable when it was written. If none
+// does, the break is from a commit that was never finished, of which any part may be on the disk.
 bool Log::proves_loss(std::string_view segment, std::size_t from, Sequence broken) const {
   for (std::size_t at = from; at + kHead <= segment.size(); at++) {
     const auto sequence = get<std::uint64_t>(segment, at + 8);
-    if (sequence ==
-        0) {  // most of an allocated segment is zeros: on to the first place that isn't within them
+    if (sequence == 0) {  // most of an allocated segment is zeros: skip to the first non-zero byte
       const auto next = segment.find_first_not_of('\0', at + 8);
       if (next == std::string_view::npos) return false;
       at = std::max(at, next - 16);
       continue;
     }
-    // Read as a record only where it could be one: of later numbers, not of a segment's earlier use.
+    // Only later numbers can be of interest; others are from an earlier use of the segment or no records.
     if (sequence <= broken || sequence > broken + segment.size()) continue;
     const auto r = read_at(segment, at, id_);
     if (r.found && r.durable >= broken) return true;
@@ -105,9 +106,9 @@
 
 Log::Opened Log::open(const std::function<void(Sequence, std::string_view)>& record) {
   Opened opened;
-  const auto fail = [&](LogProblem::What what, std::string text) {
+  const auto fail = [&](LogProblem::What kind, std::string text) {
     failed_ = true;
-    opened.problem = LogProblem{what, std::move(text)};
+    opened.problem = LogProblem{kind, std::move(text)};
     return opened;
   };
   std::vector<std::string> names;
@@ -116,7 +117,7 @@
   std::sort(names.begin(), names.end());
   for (const auto& name : names) {
     if (name.rfind(kSpare, 0) == 0) spare_.push_back(name);
-    if (name == kNew && !settings_.read_only) files_.remove(name);  // never came to its name
+    if (name == kNew && !settings_.read_only) files_.remove(name);  // left by an unfinished begin_segment()
     if (const auto first = first_of(name)) segments_.push_back({name, *first});
   }
   spare_number_ = spare_.size();
@@ -126,7 +127,7 @@
       spare_number_ = std::max<std::uint64_t>(spare_number_, n + 1);
   }
   std::string bytes;
-  bool known = false;
+  bool known = false;  // id_ and next_ have been read from the first segment
   for (std::size_t i = 0; i < segments_.size(); i++) {
     const auto& segment = segments_[i];
     const auto where = [&](std::size_t at) { return segment.name + " at " + std::to_string(at) + ": "; };
@@ -139,14 +140,14 @@
       return fail(LogProblem::What::io, segment.name + ": " + e.message());
     const std::string_view view(bytes);
     if (view.size() < kSegmentHead || std::memcmp(view.data(), kMagic, sizeof kMagic) != 0)
-      return fail(LogProblem::What::not_a_log, where(0) + "no segment of a log");
+      return fail(LogProblem::What::not_a_log, where(0) + "not a log segment");
     if (get<std::uint32_t>(view, 16) > kVersion)
       return fail(LogProblem::What::newer, where(16) + "of version " +
                                                std::to_string(get<std::uint32_t>(view, 16)) +
                                                ", this program knows " + std::to_string(kVersion));
     const auto id = get<std::uint64_t>(view, 24);
     if (view.substr(0, kSegmentHead) != segment_head(id, segment.first) || (known && id != id_))
-      return fail(LogProblem::What::corrupt, where(0) + "its head is damaged, or another log's");
+      return fail(LogProblem::What::corrupt, where(0) + "its header is damaged or belongs to another log");
     id_ = id;
     if (!known) opened.first = next_ = segment.first;
     known = true;
@@ -161,7 +162,7 @@
       at += r.size;
     }
     const bool last = i + 1 == segments_.size();
-    // A segment is begun only once all before it is durable.
+    // A segment is begun only once all records before it are durable, so a gap before it is corruption.
     if (!last && segments_[i + 1].first != next_)
       return fail(LogProblem::What::corrupt,
                   where(at) + "record " + std::to_string(next_) + " can't be read");
@@ -169,7 +170,8 @@
     if (proves_loss(view, at, next_))
       return fail(LogProblem::What::corrupt,
                   where(at) + "record " + std::to_string(next_) + " can't be read, and had been durable");
-    // What is left of a commit that never ended must not be taken for records later: zeros are put over it.
+    // The remains of an unfinished commit are overwritten with zeros, so that they can't be read as records
+    // later.
     const auto torn = view.substr(at).find_last_not_of('\0');
     file_ = std::move(file), at_ = at;
     if (torn != std::string_view::npos) {
@@ -177,10 +179,10 @@
       if (settings_.read_only) break;
       tail_ = torn + 1;
       if (const auto e = cut_tail(); e && settings_.sync)
-        return fail(LogProblem::What::io, where(at) + "the torn tail can't be cut: " + e.message());
+        return fail(LogProblem::What::io, where(at) + "cannot clear the torn tail: " + e.message());
     }
     if (settings_.read_only) break;
-    // Also where nothing was torn: what was read may never have been synced.
+    // Needed even without a torn tail: the records read may never have been synced.
     if (settings_.sync)
       if (const auto e = file_->sync()) return fail(LogProblem::What::io, segment.name + ": " + e.message());
   }
@@ -188,9 +190,9 @@
   durable_ = written_ = next_ - 1;
   if (settings_.read_only) return failed_ = true, opened;
   if (segments_.empty()) {
-    at_ = settings_.segment;  // full, as it were: commit() begins the first one
+    at_ = settings_.segment;  // as if a segment were full: commit() begins the first one
     if (const auto e = begin_segment(); e && settings_.sync)
-      return fail(LogProblem::What::io, "no segment can be made: " + e.message());
+      return fail(LogProblem::What::io, "cannot create a segment: " + e.message());
   }
   return opened;
 }
@@ -220,7 +222,7 @@
   return {};
 }
 
-// Under another name until it is whole, so that whatever has a segment's name is one.
+// The file is renamed only once its header is written, so that every file with a segment's name is complete.
 std::error_code Log::begin_segment() {
   std::unique_ptr<File> file;
   files_.remove(kNew);
@@ -265,7 +267,7 @@
   if (bytes.empty() || bytes.size() > settings_.record_max ||
       bytes.size() + kHead + kSegmentHead > settings_.segment)
     return Appended::too_large;
-  // Counted with what is pending: a commit must not find that it has no segment left.
+  // Pending records count too, so that a commit never lacks a segment.
   const std::uint64_t left =
       segments_.size() >= settings_.segments_max ? settings_.segment - at_ : settings_.segment;
   if (segments_.size() >= settings_.segments_max && pending_.size() + kHead + bytes.size() > left)
@@ -285,14 +287,14 @@
   if (tail_ > 0)
     if (const auto e = cut_tail()) return e;
   while (!pending_sizes_.empty()) {
-    // As many records as the segment has room for go out in one write.
+    // Writes as many records as fit into the segment at once.
     std::size_t size = 0, n = 0;
     while (n < pending_sizes_.size() && at_ + size + pending_sizes_[n] <= settings_.segment)
       size += pending_sizes_[n++];
     if (n == 0) {
       if (segments_.size() >= settings_.segments_max)
         return std::make_error_code(std::errc::no_space_on_device);
-      // All before it is durable first, so that a gap before a segment can only be corruption.
+      // The segment before is synced first, so that a gap before a segment can only be corruption.
       if (unsynced_) {
         if (settings_.sync)
           if (const auto e = file_->sync()) return failed_ = true, e;
@@ -302,8 +304,8 @@
       continue;
     }
     if (const auto e = write_all(*file_, at_, std::string_view(pending_).substr(0, size))) {
-      // Room on the device comes back; the same bytes go to the same place then. Anything else does not heal
-      // where records are claimed to be on the disk.
+      // Space on the device may become free again, and the same bytes are then written to the same place.
+      // After any other error a log that promises durability can't be trusted any more.
       if (settings_.sync && e != std::errc::no_space_on_device) failed_ = true;
       return e;
     }
@@ -320,7 +322,7 @@
 
 std::error_code Log::release(Sequence upto) {
   bool any = false;
-  // The last segment stays: it is being written.
+  // The last segment stays because it is being written.
   while (segments_.size() > 1 && segments_[1].first <= upto + 1) {
     const auto& name = segments_.front().name;
     std::error_code error;
@@ -334,7 +336,8 @@
     if (error) return error;
     segments_.pop_front(), any = true;
   }
-  // Durable before one is written anew: else a crash could leave the old name on new bytes.
+  // Renames must be durable before a segment is reused: otherwise a crash could leave the old name on new
+  // bytes.
   return any && settings_.sync ? files_.sync_folder() : std::error_code();
 }
 
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -6,8 +6,8 @@
 namespace cedarplank::store {
 namespace {
 
-constexpr std::chrono::milliseconds kAgain{50};        // until a full device is tried again
-constexpr std::chrono::milliseconds kStuckAfter{500};  // without any room
+constexpr std::chrono::milliseconds kAgain{50};        // pause before a full device is tried again
+constexpr std::chrono::milliseconds kStuckAfter{500};  // until a commit without space counts as stuck
 
 LogSettings log_settings(const WriterSettings& s) {
   LogSettings l = s.log;
@@ -48,15 +48,15 @@
   if (state_ == State::failed || bytes.empty() || bytes.size() > settings_.log.record_max ||
       bytes.size() + Log::kHead + Log::kSegmentHead > settings_.log.segment)
     return 0;
-  bool first = false;
+  bool notify = false;
   {
     const std::lock_guard lock(mutex_);
-    first = queue_.empty();
+    notify = queue_.empty();
     queue_bytes_ += bytes.size();
     queue_.push_back(std::move(bytes));
-    first = first || queue_.size() == settings_.batch_records;
+    notify = notify || queue_.size() == settings_.batch_records;
   }
-  if (first) wake_.notify_one();
+  if (notify) wake_.notify_one();
   return next_++;
 }
 
@@ -71,7 +71,7 @@
   return problem_;
 }
 
-// What is queued counts at once: a burst must not fill the bound before the thread has looked at it.
+// Queued bytes count at once, so that a burst can't fill the limit before the thread has processed it.
 bool Writer::nearly_full(std::size_t segments, std::size_t queued) const {
   return segments + queued / settings_.log.segment >=
          std::max<std::size_t>(settings_.log.segments_max / 2, 2);
@@ -113,14 +113,14 @@
   bool reserved = false;
   while (true) {
     if (!reserved || state_ != State::well) {
-      // Asked again after each segment that is begun, and while there is no room.
+      // Repeated after each new segment, and while space is short.
       lock.unlock();
       const auto error = log_.reserve();
       reserved = !error;
-      const bool bounded = nearly_full(log_.segments(), 0);
-      if (error || bounded)
-        set_state(State::full, error ? "no room for another segment: " + error.message()
-                                     : "half of the room that the journal may have is used");
+      const bool near_limit = nearly_full(log_.segments(), 0);
+      if (error || near_limit)
+        set_state(State::full, error ? "no space for another segment: " + error.message()
+                                     : "half of the journal's segment limit is used");
       else if (state_ != State::well)
         set_state(State::well, {});
       lock.lock();
@@ -135,7 +135,7 @@
                      [&] { return stopping_ || queue_.size() >= settings_.batch_records; });
     if (const Sequence upto = std::exchange(release_to_, 0); upto > 0) {
       lock.unlock();
-      // Names that can't be changed now are released with the next ones.
+      // On an error the remaining segments are released with the next call.
       log_.release(upto);
       segments_ = log_.segments();
       lock.lock();
@@ -155,7 +155,7 @@
   }
 }
 
-// False where the thread has nothing more to do. Comes and goes with the lock held.
+// Returns false if the thread has nothing more to do. Called and returns with the lock held.
 bool Writer::commit_all(std::vector<std::string>& records, std::unique_lock<std::mutex>& lock) {
   std::size_t done = 0;
   const auto since = std::chrono::steady_clock::now();
@@ -185,9 +185,9 @@
     const bool stuck = std::chrono::steady_clock::now() - since > kStuckAfter;
     set_state(stuck ? State::stuck : State::full, error
                                                       ? "the journal can't be written now: " + error.message()
-                                                      : "the journal has all the segments that it may have");
+                                                      : "the journal has reached its segment limit");
     lock.lock();
-    // Room may come by a release, or on the device.
+    // Space may come from a release or on the device.
     wake_.wait_for(lock, kAgain, [&] { return stopping_ || release_to_ > 0; });
     if (const Sequence upto = std::exchange(release_to_, 0); upto > 0) {
       lock.unlock();
