--- a/src/journal/keeper.cpp
+++ b/src/journal/keeper.cpp
@@ -7,7 +7,7 @@
 namespace cedarplank::journal {
 namespace {
 
-constexpr std::uint64_t kMarkEvery = 64 * 1024;  // bytes between two entries of marks_
+constexpr std::uint64_t kBytesPerMark = 64 * 1024;  // bytes between two entries of marks_
 
 }  // namespace
 
@@ -30,7 +30,7 @@
 
 void Keeper::count(Sequence sequence, std::size_t bytes) {
   written_ += bytes;
-  if (marks_.empty() || written_ - marks_.back().second >= kMarkEvery)
+  if (marks_.empty() || written_ - marks_.back().second >= kBytesPerMark)
     marks_.emplace_back(sequence, written_);
 }
 
@@ -257,7 +257,7 @@
     std::uint64_t before = 0;  // bytes written before the oldest needed record
     for (const auto& [s, bytes] : marks_)
       if (s <= image_.oldest()) before = bytes;
-    if (written_ - before > 2 * image_.bytes() + kMarkEvery) anew_to_ = last_ + 1;
+    if (written_ - before > 2 * image_.bytes() + kBytesPerMark) anew_to_ = last_ + 1;
   }
   keep_from = std::max(keep_from, anew_to_);
   while (done < max_items && !failed_ && image_.oldest() != 0 && image_.oldest() < keep_from)
--- a/src/store/inspect.cpp
+++ b/src/store/inspect.cpp
@@ -54,7 +54,7 @@
     if (head && head->version > Log::kVersion && newer.empty()) newer = name;
     if (head && !id) id = head->id;
   }
-  if (!newer.empty()) return fail(LogProblem::What::newer, newer + ": written by a later version");
+  if (!newer.empty()) return fail(LogProblem::What::newer, newer + ": of a later version");
   if (!id) return fail(LogProblem::What::not_a_log, "no segment has a readable header");
   out.id = *id;
   Sequence next = 0;
--- a/src/store/log.cpp
+++ b/src/store/log.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr char kMagic[] = "cedarplank log\n";  // 16 bytes with its terminating zero
-constexpr char kPrefix[] = "log-", kSpare[] = "spare-", kNew[] = "new-segment";
+constexpr char kSegmentPrefix[] = "log-", kSparePrefix[] = "spare-", kNewSegmentName[] = "new-segment";
 
 template <class T>
 void put(std::string& out, T v) {
@@ -31,7 +31,7 @@
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), first);
 }
 
-std::string segment_head(std::uint64_t id, Sequence first) {
+std::string make_segment_header(std::uint64_t id, Sequence first) {
   std::string head(kMagic, sizeof kMagic);
   put(head, Log::kVersion), put(head, std::uint32_t{0});
   put(head, id), put(head, first);
@@ -47,14 +47,14 @@
 
 std::string Log::name_of(Sequence first) const {
   char name[32];
-  snprintf(name, sizeof name, "%s%016llx", kPrefix, static_cast<unsigned long long>(first));
+  snprintf(name, sizeof name, "%s%016llx", kSegmentPrefix, static_cast<unsigned long long>(first));
   return name;
 }
 
 std::optional<Sequence> Log::first_of(const std::string& name) {
   unsigned long long first = 0;
   int used = 0;
-  if (name.size() == 20 && name.rfind(kPrefix, 0) == 0 &&
+  if (name.size() == 20 && name.rfind(kSegmentPrefix, 0) == 0 &&
       sscanf(name.c_str() + 4, "%16llx%n", &first, &used) == 1 && used == 16)
     return first;
   return std::nullopt;
@@ -65,7 +65,7 @@
     return std::nullopt;
   SegmentHead head{get<std::uint32_t>(segment, 16), get<std::uint64_t>(segment, 24),
                    get<std::uint64_t>(segment, 32)};
-  if (head.version <= kVersion && segment.substr(0, kSegmentHead) != segment_head(head.id, head.first))
+  if (head.version <= kVersion && segment.substr(0, kSegmentHead) != make_segment_header(head.id, head.first))
     return std::nullopt;
   return head;
 }
@@ -116,14 +116,15 @@
     return fail(LogProblem::What::io, "the folder can't be read: " + e.message());
   std::sort(names.begin(), names.end());
   for (const auto& name : names) {
-    if (name.rfind(kSpare, 0) == 0) spare_.push_back(name);
-    if (name == kNew && !settings_.read_only) files_.remove(name);  // left by an unfinished begin_segment()
+    if (name.rfind(kSparePrefix, 0) == 0) spare_.push_back(name);
+    if (name == kNewSegmentName && !settings_.read_only)
+      files_.remove(name);  // left by an unfinished begin_segment()
     if (const auto first = first_of(name)) segments_.push_back({name, *first});
   }
   spare_number_ = spare_.size();
   for (const auto& s : spare_) {
     unsigned long long n = 0;
-    if (sscanf(s.c_str() + sizeof kSpare - 1, "%llu", &n) == 1)
+    if (sscanf(s.c_str() + sizeof kSparePrefix - 1, "%llu", &n) == 1)
       spare_number_ = std::max<std::uint64_t>(spare_number_, n + 1);
   }
   std::string bytes;
@@ -146,7 +147,7 @@
                                                std::to_string(get<std::uint32_t>(view, 16)) +
                                                ", this program knows " + std::to_string(kVersion));
     const auto id = get<std::uint64_t>(view, 24);
-    if (view.substr(0, kSegmentHead) != segment_head(id, segment.first) || (known && id != id_))
+    if (view.substr(0, kSegmentHead) != make_segment_header(id, segment.first) || (known && id != id_))
       return fail(LogProblem::What::corrupt, where(0) + "its header is damaged or belongs to another log");
     id_ = id;
     if (!known) opened.first = next_ = segment.first;
@@ -225,22 +226,22 @@
 // The file is renamed only once its header is written, so that every file with a segment's name is complete.
 std::error_code Log::begin_segment() {
   std::unique_ptr<File> file;
-  files_.remove(kNew);
+  files_.remove(kNewSegmentName);
   std::error_code error;
   if (!spare_.empty()) {
-    error = files_.rename(spare_.back(), kNew);
+    error = files_.rename(spare_.back(), kNewSegmentName);
     if (error) return error;
     spare_.pop_back();
-    error = files_.open(kNew, Files::Open::existing, file);
+    error = files_.open(kNewSegmentName, Files::Open::existing, file);
   } else {
-    error = files_.open(kNew, Files::Open::create, file);
+    error = files_.open(kNewSegmentName, Files::Open::create, file);
     if (!error) error = file->allocate(settings_.segment);
   }
-  const auto head = segment_head(id_, next_written());
+  const auto head = make_segment_header(id_, next_written());
   if (!error) error = write_all(*file, 0, head);
   if (!error && settings_.sync) error = file->sync();
   const auto name = name_of(next_written());
-  if (!error) error = files_.rename(kNew, name);
+  if (!error) error = files_.rename(kNewSegmentName, name);
   if (!error && settings_.sync) error = files_.sync_folder();
   if (error) return error;
   file_ = std::move(file), at_ = kSegmentHead;
@@ -250,7 +251,7 @@
 
 std::error_code Log::reserve() {
   if (!spare_.empty() || segments_.size() >= settings_.segments_max) return {};
-  const auto name = kSpare + std::to_string(spare_number_++);
+  const auto name = kSparePrefix + std::to_string(spare_number_++);
   std::unique_ptr<File> file;
   auto error = files_.open(name, Files::Open::create, file);
   if (!error) error = file->allocate(settings_.segment);
@@ -327,7 +328,7 @@
     const auto& name = segments_.front().name;
     std::error_code error;
     if (spare_.size() < settings_.spare_max) {
-      const auto spare = kSpare + std::to_string(spare_number_++);
+      const auto spare = kSparePrefix + std::to_string(spare_number_++);
       error = files_.rename(name, spare);
       if (!error) spare_.push_back(spare);
     } else {
--- a/src/store/log.hpp
+++ b/src/store/log.hpp
@@ -26,7 +26,7 @@
 struct LogSettings {
   std::uint64_t segment = 16 * 1024 * 1024;  // bytes, allocated when a segment is created
   std::size_t record_max = 1024 * 1024;      // bytes of one record
-  std::size_t segments_max = 64;             // when reached, nothing is appended until some are released
+  std::size_t segments_max = 64;             // when all are full, nothing is appended until some are released
   std::size_t spare_max = 4;                 // released segments kept for reuse
   bool read_only = false;                    // open() changes nothing, and append() fails
   // False: the operating system writes back when it likes, and a crash of the machine may lose records.
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -6,7 +6,7 @@
 namespace cedarplank::store {
 namespace {
 
-constexpr std::chrono::milliseconds kAgain{50};        // pause before a full device is tried again
+constexpr std::chrono::milliseconds kRetryPause{50};   // pause before a full device is tried again
 constexpr std::chrono::milliseconds kStuckAfter{500};  // until a commit without space counts as stuck
 
 LogSettings log_settings(const WriterSettings& s) {
@@ -127,7 +127,7 @@
     }
     const auto ready = [&] { return stopping_ || !queue_.empty() || release_to_ >= log_.first(); };
     if (state_ != State::well)
-      wake_.wait_for(lock, kAgain, ready);
+      wake_.wait_for(lock, kRetryPause, ready);
     else
       wake_.wait(lock, ready);
     if (settings_.sync == WriterSettings::Sync::batched && !stopping_ && !queue_.empty())
@@ -188,7 +188,7 @@
                                                       : "the journal has reached its segment limit");
     lock.lock();
     // Space may come from a release or on the device.
-    wake_.wait_for(lock, kAgain, [&] { return stopping_ || release_to_ > 0; });
+    wake_.wait_for(lock, kRetryPause, [&] { return stopping_ || release_to_ > 0; });
     if (const Sequence upto = std::exchange(release_to_, 0); upto > 0) {
       lock.unlock();
       log_.release(upto);
--- a/tests/faulty_files.hpp
+++ b/tests/faulty_files.hpp
@@ -1,5 +1,5 @@
-// A folder in memory that loses at a crash what was not synced, in any part and order, and whose calls fail
-// or fall short at will.
+// In-memory folder for tests. A crash loses data that was not synced, in any part and order, and calls can be
+// made to fail or write less than asked.
 #pragma once
 
 #include <functional>
@@ -10,25 +10,26 @@
 
 namespace cedarplank::testing {
 
+// Thrown by `before` to crash the machine within a call.
 struct Crash {};
 
 class FaultyFiles final : public store::Files {
  public:
   explicit FaultyFiles(std::uint64_t seed) : random_(seed) {}
 
-  // Asked before each call that changes anything, by its kind; may throw Crash, or give an error.
+  // Called before each call that changes anything, with its kind. May throw Crash or return an error.
   std::function<std::error_code(const char* call)> before;
-  std::size_t calls = 0;
-  std::size_t short_writes = 0;  // a write takes at most so many bytes; 0: all
+  std::size_t calls = 0;         // calls so far that change anything
+  std::size_t short_writes = 0;  // most bytes that one write accepts; 0: no limit
 
-  // The machine goes: each write since the last sync is there, gone, or there in part; names as of some
-  // moment since the folder's last sync.
+  // Crashes the machine: each write since the last sync is kept, lost or kept in part. File names are those
+  // of some moment since the folder's last sync.
   void crash() {
     for (auto& [id, inode] : inodes_) {
       for (auto& w : inode.unsynced) {
-        const auto fate = random_() % 3;
-        if (fate == 0) continue;
-        if (fate == 2) w.bytes.resize(random_() % (w.bytes.size() + 1));
+        const auto kept_part = random_() % 3;  // 0: nothing, 1: all, 2: a part
+        if (kept_part == 0) continue;
+        if (kept_part == 2) w.bytes.resize(random_() % (w.bytes.size() + 1));
         apply(inode.durable, w);
       }
       inode.unsynced.clear();
@@ -39,11 +40,12 @@
     names_ = durable_names_;
     names_since_.clear();
   }
+  // The file's content, to be read or changed.
   std::string& bytes_of(const std::string& name) {
     auto& inode = inodes_.at(names_.at(name));
     return inode.now;
   }
-  // What was changed by hand stays.
+  // Makes everything durable, also changes through bytes_of().
   void settle() {
     for (auto& [id, inode] : inodes_) inode.durable = inode.now, inode.unsynced.clear();
     durable_names_ = names_, names_since_.clear();
@@ -102,7 +104,7 @@
     std::error_code write(std::uint64_t at, std::string_view bytes, std::size_t& written) override {
       written = 0;
       if (f_.short_writes > 0) bytes = bytes.substr(0, f_.short_writes);
-      // A call that fails, or in which the machine goes, may have written all the same.
+      // A call that fails, or during which the machine crashes, may still have written.
       auto& inode = f_.inodes_.at(id_);
       Write w{at, std::string(bytes)};
       std::error_code error;
@@ -150,6 +152,7 @@
     if (to.size() < w.at + w.bytes.size()) to.resize(w.at + w.bytes.size(), '\0');
     to.replace(w.at, w.bytes.size(), w.bytes);
   }
+  // Counts a call that changes anything and asks `before` for its error.
   std::error_code ask(const char* call) {
     calls++;
     return before ? before(call) : std::error_code();
--- a/tests/journal_cli_test.sh
+++ b/tests/journal_cli_test.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# `cedarplank journal` on a journal that real kills left: whole, damaged, mended, of a later version, in use.
+# `cedarplank journal` on a journal left by real kills: intact, damaged, repaired, of a later version, in use.
 # Usage: journal_cli_test.sh PROGRAM
 set -euo pipefail
 program=$1
@@ -20,19 +20,19 @@
 expect 0 '"record":"answered"' "$program" journal export "$journal"
 message=$(grep -m1 '"record":"answered"' "$work/out" | grep -o '"id":[0-9]*' | cut -d: -f2)
 expect 0 "\"id\":$message" "$program" journal export --message "$message" "$journal"
-[ "$(grep -vc "\"id\":$message[,}]" "$work/out")" = 0 ] || fail "--message tells of others"
+[ "$(grep -vc "\"id\":$message[,}]" "$work/out")" = 0 ] || fail "--message prints records of other messages"
 expect 0 'nothing to mend' "$program" journal repair "$journal"
 expect 2 'journal:' "$program" journal verify "$work/none"
-[ ! -e "$work/none" ] || fail "a folder was made by looking for it"
+[ ! -e "$work/none" ] || fail "journal verify created a missing folder"
 
-# A second process is turned away, and told why.
+# A second process is rejected with the reason.
 "$program" relay --config "$work/relay.yaml" 2>"$work/relay.log" & relay=$!
 until grep -q '"ready"' "$work/relay.log"; do sleep 0.05; done
 expect 2 'stop the relay first' "$program" journal verify "$journal"
 expect 2 'another process has it' "$program" relay --config "$work/relay.yaml"
 kill $relay; wait $relay || true; relay=
 
-# A byte in the middle of what had been durable.
+# A damaged byte in the middle of durable records.
 first=$(ls "$journal"/log-* | head -1)
 cp -r "$journal" "$work/kept"
 printf '\x55' | dd of="$first" bs=1 seek=300 conv=notrunc status=none
@@ -46,7 +46,7 @@
 until grep -q '"ready"' "$work/relay.log"; do sleep 0.05; done
 kill $relay; wait $relay || true; relay=
 
-# A later version is left alone.
+# A journal of a later version is not touched.
 rm -r "$journal" && mv "$work/kept" "$journal"
 printf '\x09' | dd of="$first" bs=1 seek=16 conv=notrunc status=none
 expect 1 'of version 9' "$program" journal verify "$journal"
--- a/tests/journal_crash_test.cpp
+++ b/tests/journal_crash_test.cpp
@@ -1,6 +1,6 @@
-// A short run in virtual time of core, module, keeper and log over a file system in memory, with the machine
-// gone at each call that changes a file, and again at each call of the recovery after it: what was not synced
-// is lost in any part and order. Judged by what clients and partner saw.
+// Short runs in virtual time of core, module, journal coordinator and log on an in-memory file system. The
+// machine crashes at each call that changes a file, and again during the recovery; data that was not synced
+// is lost in any part and order. The run is checked by what clients and partner observed.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -28,12 +28,12 @@
   return s;
 }
 
-// What outlives the relay: clients, the partner, and the disk.
-struct Outside {
-  explicit Outside(std::uint64_t seed) : files(seed), random(seed) {}
+// What survives a crash of the relay: clients, the partner and the disk.
+struct Environment {
+  explicit Environment(std::uint64_t seed) : files(seed), random(seed) {}
   struct Message {
     int cls = 0;
-    MessageId id = 0;  // in this run; 0: to be handed in
+    MessageId id = 0;  // in this run; 0: not handed in yet
     bool acknowledged = false;
     int effects = 0;
     char final = 0;
@@ -46,20 +46,20 @@
   bool told_durable = false;
   int told_run = 0, run = 0;
   journal::WaitsFor waits;
-  std::vector<std::string> broken;
-  void bad(std::size_t m, const std::string& why) {
-    broken.push_back("message " + std::to_string(m) + ", run " + std::to_string(run) + ": " + why);
+  std::vector<std::string> violations;
+  void report(std::size_t m, const std::string& why) {
+    violations.push_back("message " + std::to_string(m) + ", run " + std::to_string(run) + ": " + why);
   }
 };
 
-// One run of the relay, until all is answered or the machine goes.
-class Life final : public relay::Transport,
-                   public relay::Answers,
-                   public relay::ListSource,
-                   public relay::Notes,
-                   public relay::Log {
+// One run of the relay, until all messages are answered or the machine crashes.
+class RelayRun final : public relay::Transport,
+                       public relay::Answers,
+                       public relay::ListSource,
+                       public relay::Notes,
+                       public relay::Log {
  public:
-  explicit Life(Outside& o) : o_(o), log_(o.files, log_settings(), 7) {
+  explicit RelayRun(Environment& o) : o_(o), log_(o.files, log_settings(), 7) {
     o_.run++;
     journal::Image image;
     const auto opened = log_.open([&](store::Sequence s, std::string_view bytes) {
@@ -102,7 +102,7 @@
   }
 
   void play() {
-    for (int step = 0; step < 4'000 && !over(); step++) {
+    for (int step = 0; step < 4'000 && !all_answered(); step++) {
       o_.now += 5 * kMs;
       for (std::size_t i = 0; i < o_.messages.size(); i++)
         if (o_.messages[i].id == 0 && o_.messages[i].final == 0 && static_cast<Time>(i) * 10 * kMs < o_.now)
@@ -121,22 +121,22 @@
       commit();
       keeper_->tidy(o_.now, 5);
     }
-    EXPECT_TRUE(over()) << "something stays without its answer";
+    EXPECT_TRUE(all_answered()) << "a message has no final answer";
   }
 
   // relay::Transport
   void send(const relay::CallOrder& order) override {
     const std::size_t m = number(*order.message);
     auto& message = o_.messages[m];
-    if (message.final != 0) o_.bad(m, "rule 1: sent after its final answer");
-    if (o_.now < o_.told_until && o_.told_durable) o_.bad(m, "rule 6: sent while told to wait");
+    if (message.final != 0) o_.report(m, "rule 1: sent after its final answer");
+    if (o_.now < o_.told_until && o_.told_durable) o_.report(m, "rule 6: sent while told to wait");
     Call call{m, o_.now + static_cast<Time>(5 + o_.random() % 40) * kMs, 0};
-    const auto fate = o_.random() % 16;
-    call.fate = fate < 9 ? 's' : fate < 11 ? 'f' : fate < 12 ? 'w' : fate < 14 ? 'l' : 'r';
-    // Bytes that have left run on, whatever becomes of the relay.
-    if (call.fate == 's' || call.fate == 'l') {
+    const auto draw = o_.random() % 16;
+    call.outcome = draw < 9 ? 's' : draw < 11 ? 'f' : draw < 12 ? 'w' : draw < 14 ? 'l' : 'r';
+    // Bytes that were sent take effect, whatever happens to the relay.
+    if (call.outcome == 's' || call.outcome == 'l') {
       const bool repeat = message.cls == 2 && message.effects > 0;
-      if (!repeat && ++message.effects > 1 && message.cls != 0) o_.bad(m, "rule 2: an effect twice");
+      if (!repeat && ++message.effects > 1 && message.cls != 0) o_.report(m, "rule 2: an effect twice");
     }
     calls_[order.id] = call;
   }
@@ -161,7 +161,7 @@
   struct Call {
     std::size_t message = 0;
     Time at = 0;
-    char fate = 0;
+    char outcome = 0;  // s served, f full, w full with a told wait, l effect without an answer, r reset
   };
   static store::LogSettings log_settings() {
     store::LogSettings s;
@@ -184,14 +184,14 @@
     ASSERT_EQ(core_->take(o_.now, m.id, std::move(message)), relay::Core::Taken::yes);
     keeper_->when_taken(m.id, [this, i] { o_.messages[i].acknowledged = true; });
   }
-  // Clients ask, under their keys, for what they have no answer to.
+  // Clients ask, under their keys, for the answers that they don't have yet.
   void ask_again() {
     for (std::size_t i = 0; i < o_.messages.size(); i++) {
       auto& m = o_.messages[i];
       const auto id = keeper_->image().find("", "d", std::to_string(i));
       const bool kept = id && keeper_->image().answers().count(*id) > 0;
-      if (m.final != 0 && !kept) o_.bad(i, "rule 1: its answer is forgotten");
-      if (m.final == 0 && !id && m.acknowledged) o_.bad(i, "rule 1: lost after it was acknowledged");
+      if (m.final != 0 && !kept) o_.report(i, "rule 1: its answer is forgotten");
+      if (m.final == 0 && !id && m.acknowledged) o_.report(i, "rule 1: lost after it was acknowledged");
       if (m.final != 0) continue;
       m.id = id ? *id : 0;
       if (!kept) continue;
@@ -200,7 +200,7 @@
     }
   }
   void end(relay::CallId id, const Call& call) {
-    switch (call.fate) {
+    switch (call.outcome) {
       case 's':
         return core_->call_ended(o_.now, id, {Outcome::served, 0, {}, "201", {}});
       case 'w':
@@ -218,17 +218,17 @@
   }
   void deliver(std::size_t i, char verdict) {
     auto& m = o_.messages[i];
-    if (m.final != 0) o_.bad(i, "rule 1: two final answers");
-    if (verdict == 'r' && m.cls == 1 && m.effects > 0) o_.bad(i, "rule 2: refused, and it had an effect");
+    if (m.final != 0) o_.report(i, "rule 1: two final answers");
+    if (verdict == 'r' && m.cls == 1 && m.effects > 0) o_.report(i, "rule 2: refused, and it had an effect");
     m.final = verdict, m.final_run = o_.run;
   }
-  bool over() const {
+  bool all_answered() const {
     for (const auto& m : o_.messages)
       if (m.final == 0) return false;
     return true;
   }
 
-  Outside& o_;
+  Environment& o_;
   store::Log log_;
   std::unique_ptr<journal::Keeper> keeper_;
   std::unique_ptr<relay::Core> core_;
@@ -237,16 +237,17 @@
 };
 
 struct Played {
-  std::size_t calls = 0;
-  std::string broken;
+  std::size_t calls = 0;  // that change a file
+  std::string violation;  // the first one; empty: none
 };
-// The machine goes at the `first`th call, and at the `second`th after that (0: not again).
+// The machine crashes at the `first`th call that changes a file, and at the `second`th after that (0: no
+// crash).
 Played play(std::uint64_t seed, std::size_t first, std::size_t second, std::size_t short_writes,
             journal::WaitsFor waits = {}) {
-  Outside o(seed);
+  Environment o(seed);
   o.files.short_writes = short_writes, o.waits = waits;
   for (int i = 0; i < 18; i++) {
-    Outside::Message m;
+    Environment::Message m;
     m.cls = i % 3;
     o.messages.push_back(m);
   }
@@ -259,17 +260,17 @@
   };
   for (const std::size_t next : {second, std::size_t{0}, std::size_t{0}}) {
     try {
-      Life life(o);
-      life.play();
+      RelayRun run(o);
+      run.play();
       break;
     } catch (const Crash&) {
       o.files.crash();
       until = next;
     }
   }
-  if (!o.broken.empty())
-    played.broken = o.broken.front() + " (seed " + std::to_string(seed) + ", calls " + std::to_string(first) +
-                    " and " + std::to_string(second) + ")";
+  if (!o.violations.empty())
+    played.violation = o.violations.front() + " (seed " + std::to_string(seed) + ", calls " +
+                       std::to_string(first) + " and " + std::to_string(second) + ")";
   return played;
 }
 
@@ -280,29 +281,29 @@
     const std::size_t calls = play(seed, 0, 0, short_writes).calls;
     ASSERT_GT(calls, 30u);
     for (std::size_t at = 1; at <= calls && !HasFailure(); at++, runs++)
-      EXPECT_EQ(play(seed, at, 0, short_writes).broken, "");
+      EXPECT_EQ(play(seed, at, 0, short_writes).violation, "");
   }
   std::cout << runs << " crashes\n";
 }
 
-// The recovery and what follows it are struck as well.
+// A second crash during the recovery or soon after it.
 TEST(JournalCrash, AgainInTheRecovery) {
   std::size_t runs = 0;
   for (std::uint64_t seed = 11; seed <= 13 && !HasFailure(); seed++) {
     const std::size_t calls = play(seed, 0, 0, 0).calls;
     for (std::size_t at = 2; at <= calls; at += 7)
       for (std::size_t again = 1; again <= 25 && !HasFailure(); again++, runs++)
-        EXPECT_EQ(play(seed, at, again, 0).broken, "");
+        EXPECT_EQ(play(seed, at, again, 0).violation, "");
   }
   std::cout << runs << " double crashes\n";
 }
 
-// With one wait taken away some crash shows it.
+// With one wait switched off some crash must show a violation.
 TEST(JournalCrash, EachMissingWaitShows) {
   const auto shows = [](journal::WaitsFor waits) {
     for (std::uint64_t seed = 1; seed <= 6; seed++)
       for (std::size_t at = 1, calls = play(seed, 0, 0, 0).calls; at <= calls; at++)
-        if (!play(seed, at, 0, 0, waits).broken.empty()) return true;
+        if (!play(seed, at, 0, 0, waits).violation.empty()) return true;
     return false;
   };
   EXPECT_TRUE(shows({.risky_sends = false}));
--- a/tests/journal_model_test.cpp
+++ b/tests/journal_model_test.cpp
@@ -1,7 +1,7 @@
-// A model check of what is written when: the keeper, image and recovery as they are, between a decider, a
-// partner and a client that do anything they may, in every order, with a crash at any point that leaves any
-// part of what was not durable. Rules 1, 2 and 6 must hold on every path; with one wait taken away they must
-// not.
+// Model check of the order of writes and actions: the real coordinator, state and recovery between a
+// simulated decider, partner and client that take every allowed step in every order, with a crash at any
+// point that keeps any prefix of the records that were not durable. Rules 1, 2 and 6 must hold on every path.
+// With one wait switched off some path must violate them.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -16,28 +16,34 @@
 namespace {
 
 using journal::Keeper;
-using Broken = std::string;  // which rule, and how
+using Violation = std::string;  // number of the rule, and how it is violated; empty: none
 
+// What is explored.
 struct Plan {
-  std::vector<Effect> messages;  // one of each
+  std::vector<Effect> messages;  // one message for each entry
   int attempts = 2, crashes = 2;
   journal::WaitsFor waits = {};
-  bool forget_waits = false;  // recovery does not hand them on
-  bool no_recall = false;     // a wait does not call back what waits for the journal
+  bool forget_waits = false;  // fault: recovery does not pass on told waits
+  bool no_recall = false;     // fault: a told wait does not cancel sends that wait for the journal
 };
 
-class World final : public relay::Transport, public relay::Answers {
+// One path: the system with everything around it, advanced step by step.
+class Simulation final : public relay::Transport, public relay::Answers {
  public:
+  // kind: t hand in a message, s send an attempt, r refuse, f fail, g give the attempt up, p the partner
+  // performs the effect, e the call ends (b: how), c commit, x crash (a: records kept), w the told wait
+  // passes. a is a client, message, call or record.
   struct Step {
-    char what = 0;
+    char kind = 0;
     int a = 0, b = 0;
   };
 
-  explicit World(const Plan& plan) : plan_(plan), clients_(plan.messages.size()) { start(); }
+  explicit Simulation(const Plan& plan) : plan_(plan), clients_(plan.messages.size()) { start(); }
 
-  Broken broken;
+  Violation violation;
 
-  std::vector<Step> choices() const {
+  // All steps that are possible now.
+  std::vector<Step> possible_steps() const {
     std::vector<Step> all;
     const auto n = static_cast<int>(clients_.size());
     for (int m = 0; m < n; m++) {
@@ -51,14 +57,14 @@
       if (m.out == 0 && m.attempts < plan_.attempts && repeat && !wait_known_) all.push_back({'s', i});
       if (m.out == 0 && repeat) all.push_back({'r', i});
       if (m.out == 0) all.push_back({'f', i});
-      if (m.out != 0) all.push_back({'g', i});  // gives it up
+      if (m.out != 0) all.push_back({'g', i});  // gives the attempt up
     }
     for (const auto& [id, c] : calls_) {
       const auto i = static_cast<int>(id);
       if (!c.ran && !c.never) all.push_back({'p', i});
       if (!c.ours) continue;
-      all.push_back({'e', i, c.ran ? 0 : 1});            // served, or refused unseen
-      if (!c.ran && !told_) all.push_back({'e', i, 2});  // refused, with a wait
+      all.push_back({'e', i, c.ran ? 0 : 1});            // served, or refused without an effect
+      if (!c.ran && !told_) all.push_back({'e', i, 2});  // refused with a told wait
       all.push_back({'e', i, 3});                        // reset
     }
     if (durable_ < log_.size()) {
@@ -72,8 +78,8 @@
     return all;
   }
 
-  void take(const Step& s) {
-    switch (s.what) {
+  void apply(const Step& s) {
+    switch (s.kind) {
       case 't': {
         auto message = std::make_shared<relay::NewMessage>();
         message->message_class = s.a, message->idempotency_key = std::string(1, static_cast<char>('a' + s.a));
@@ -113,8 +119,8 @@
         auto& call = calls_.at(static_cast<relay::CallId>(s.a));
         call.ran = true;
         auto& c = clients_[static_cast<std::size_t>(call.client)];
-        if (++c.effects > 1 && effect_of(call.client) != Effect::safe) broken = "2: an effect twice";
-        if (c.refused && effect_of(call.client) != Effect::safe) broken = "2: an effect after a refusal";
+        if (++c.effects > 1 && effect_of(call.client) != Effect::safe) violation = "2: an effect twice";
+        if (c.refused && effect_of(call.client) != Effect::safe) violation = "2: an effect after a refusal";
         break;
       }
       case 'e': {
@@ -126,7 +132,7 @@
         if (s.b == 1 || s.b == 2) call.never = true;
         if (s.b == 2) told_ = true, wait_known_ = true;
         end(id, kOutcomes[s.b], s.b == 2 ? 1'000 : 0);
-        // As the core does: what waits for the journal is called back too.
+        // As the core does: sends that wait for the journal are cancelled too.
         if (s.b == 2 && !plan_.no_recall)
           for (const auto other : keeper_->recall("e")) end(other, Outcome::not_sent, 0);
         break;
@@ -146,9 +152,10 @@
     }
   }
 
+  // Equal for paths that lead to the same state.
   std::string state() const {
     std::ostringstream o;
-    // Of what is durable only what it comes to matters; of the rest, each record.
+    // Of the durable records only the resulting state matters; of the others each record does.
     journal::Image image;
     journal::Record r;
     for (std::size_t i = 0; i < log_.size(); i++) {
@@ -173,8 +180,8 @@
   void send(const relay::CallOrder& order) override {
     const int m = order.message->message_class;
     calls_[order.id] = {m, false, false, true};
-    if (clients_[static_cast<std::size_t>(m)].finals > 0) broken = "1: sent after the final answer";
-    if (told_ && (heard_ || wait_survived_)) broken = "6: sent while told to wait";
+    if (clients_[static_cast<std::size_t>(m)].finals > 0) violation = "1: sent after the final answer";
+    if (told_ && (heard_ || wait_survived_)) violation = "6: sent while told to wait";
   }
   Recalled cancel(relay::CallId call) override {
     calls_.at(call).ours = false;
@@ -190,7 +197,7 @@
   void failed(MessageId id, const relay::Account&) override { answer(id, 'f'); }
 
  private:
-  struct Client {  // of one message
+  struct Client {  // client of one message
     MessageId id = 0;
     bool acknowledged = false, refused = false;
     int finals = 0, effects = 0;
@@ -201,7 +208,7 @@
     bool ran = false;
     relay::CallId out = 0;
   };
-  struct Call {  // that has left
+  struct Call {  // a call that was sent
     int client = 0;
     bool ran = false, never = false, ours = false;
   };
@@ -213,11 +220,11 @@
       if (c.id == id) deliver(c, verdict);
   }
   void deliver(Client& c, char verdict) {
-    if (c.finals > 0 && c.verdict != verdict) broken = "1: two final answers";
+    if (c.finals > 0 && c.verdict != verdict) violation = "1: two final answers";
     if (verdict == 'r') {
       c.refused = true;
       const auto effect = effect_of(static_cast<int>(&c - clients_.data()));
-      if (c.effects > 0 && effect != Effect::safe) broken = "2: refused, and had an effect";
+      if (c.effects > 0 && effect != Effect::safe) violation = "2: refused, and had an effect";
     }
     c.finals = 1, c.verdict = verdict;
   }
@@ -286,15 +293,15 @@
     wait_survived_ = wait_survived_ && told_;
   }
 
-  // What was not durable may be there still or not, from its end on; calls that have left go on.
+  // Keeps the first `kept` records, at least the durable ones. Calls that were sent go on.
   void crash(std::size_t kept) {
     crashes_++;
     log_.resize(kept);
-    durable_ = kept;  // it was read: what is read is made durable before anything else
+    durable_ = kept;  // opening the log makes all that is read durable
     held_.clear(), sent_.clear(), heard_ = false;
     for (auto& [id, c] : calls_) c.ours = false;
     start();
-    // Each client asks for what it has no answer to.
+    // Each client asks for the answer of its message.
     for (std::size_t i = 0; i < clients_.size(); i++) {
       Client& c = clients_[i];
       if (c.id == 0) continue;
@@ -304,10 +311,10 @@
         static constexpr char kVerdicts[] = {'s', 'r', 'f'};
         deliver(c, kVerdicts[static_cast<int>(kept_answer->second.is.verdict)]);
       } else if (c.finals > 0) {
-        broken = id ? "1: held again after its final answer" : "1: the answer given is forgotten";
+        violation = id ? "1: held again after its final answer" : "1: the answer given is forgotten";
       } else if (!id) {
-        if (c.acknowledged) broken = "1: lost after it was acknowledged";
-        c.id = 0;  // it may be handed in anew
+        if (c.acknowledged) violation = "1: lost after it was acknowledged";
+        c.id = 0;  // it may be handed in again
       }
     }
   }
@@ -327,32 +334,33 @@
   bool told_ = false, wait_known_ = false, heard_ = false, wait_survived_ = false;
 };
 
+// The result of explore().
 struct Explored {
   std::size_t states = 0, steps = 0;
-  Broken broken;
+  Violation violation;
   std::string path;
 };
 
-// Every reachable state once, each by the path that led to it, replayed from the start.
+// Visits every reachable state once, each by replaying the path that led to it from the start.
 Explored explore(const Plan& plan) {
   Explored e;
-  std::unordered_set<std::size_t> seen;  // hashes: two states may pass for one, and none for two
-  std::vector<std::vector<World::Step>> open = {{}};
+  std::unordered_set<std::size_t> seen;  // hashes: a collision may skip a state, none is visited twice
+  std::vector<std::vector<Simulation::Step>> open = {{}};
   while (!open.empty()) {
     const auto path = std::move(open.back());
     open.pop_back();
-    World at(plan);
-    for (const auto& s : path) at.take(s);
-    for (const auto& s : at.choices()) {
-      World next(plan);
-      for (const auto& before : path) next.take(before);
-      next.take(s);
+    Simulation at(plan);
+    for (const auto& s : path) at.apply(s);
+    for (const auto& s : at.possible_steps()) {
+      Simulation next(plan);
+      for (const auto& before : path) next.apply(before);
+      next.apply(s);
       e.steps++;
       auto longer = path;
       longer.push_back(s);
-      if (!next.broken.empty()) {
-        e.broken = next.broken;
-        for (const auto& x : longer) e.path += std::string(1, x.what) + std::to_string(x.a) + " ";
+      if (!next.violation.empty()) {
+        e.violation = next.violation;
+        for (const auto& x : longer) e.path += std::string(1, x.kind) + std::to_string(x.a) + " ";
         return e;
       }
       if (seen.insert(std::hash<std::string>()(next.state())).second) open.push_back(std::move(longer));
@@ -369,21 +377,21 @@
     const auto e = explore(plan);
     std::cout << plan.messages.size() << " messages, " << plan.crashes << " crashes: " << e.states
               << " states, " << e.steps << " steps\n";
-    EXPECT_EQ(e.broken, "") << e.path;
+    EXPECT_EQ(e.violation, "") << e.path;
     EXPECT_GT(e.states, 500u);
   }
 }
 
 TEST(JournalModel, EachPlantedMistakeIsFound) {
-  const auto broken = [](journal::WaitsFor waits, bool forget,
-                         std::vector<Effect> messages = {Effect::unsafe}) {
-    return explore({std::move(messages), 2, 2, waits, forget}).broken;
+  const auto violation = [](journal::WaitsFor waits, bool forget,
+                            std::vector<Effect> messages = {Effect::unsafe}) {
+    return explore({std::move(messages), 2, 2, waits, forget}).violation;
   };
-  EXPECT_EQ(broken({.risky_sends = false}, false).substr(0, 1), "2");
-  EXPECT_EQ(broken({.answers = false}, false).substr(0, 1), "1");
-  EXPECT_EQ(broken({.acknowledgement = false}, false).substr(0, 1), "1");
-  EXPECT_EQ(broken({}, true).substr(0, 1), "6");
-  EXPECT_EQ(explore({{Effect::unsafe, Effect::unsafe}, 1, 0, {}, false, true}).broken.substr(0, 1), "6");
+  EXPECT_EQ(violation({.risky_sends = false}, false).substr(0, 1), "2");
+  EXPECT_EQ(violation({.answers = false}, false).substr(0, 1), "1");
+  EXPECT_EQ(violation({.acknowledgement = false}, false).substr(0, 1), "1");
+  EXPECT_EQ(violation({}, true).substr(0, 1), "6");
+  EXPECT_EQ(explore({{Effect::unsafe, Effect::unsafe}, 1, 0, {}, false, true}).violation.substr(0, 1), "6");
 }
 
 }  // namespace
--- a/tests/journal_service_test.cpp
+++ b/tests/journal_service_test.cpp
@@ -1,4 +1,4 @@
-// A relay with a journal on loopback: what its clients are told, before and after it was started anew.
+// A relay with a journal on loopback: the answers that its clients get before and after a restart.
 #include <gtest/gtest.h>
 
 #include "journal/keeper.hpp"
@@ -21,8 +21,8 @@
     s.start();
     client = std::make_unique<Client>(s.loop, s.node->address());
   }
-  // As after a crash: nothing is answered, and nothing told to anyone.
-  void start_anew() {
+  // As after a crash: nothing is answered and nobody is notified.
+  void restart() {
     client.reset(), s.node.reset();
     start();
   }
@@ -58,20 +58,20 @@
   d.endpoints()[0]->begin({.fault = standin::Fault::pause});
   const auto accepted = push("/push/bank/pay", "id=p1;class=pay;", "", true);
   EXPECT_EQ(answer(accepted), "202");
-  const auto place = client->field(accepted, "location");
-  EXPECT_EQ(get(place).substr(0, 4), "202 ");
-  EXPECT_NE(get(place).find("\"answer\":null"), std::string::npos);
+  const auto location = client->field(accepted, "location");
+  EXPECT_EQ(get(location).substr(0, 4), "202 ");
+  EXPECT_NE(get(location).find("\"answer\":null"), std::string::npos);
   d.endpoints()[0]->end(standin::Fault::pause);
   turn(s.loop, [&] { return s.effects_of("p1") == 1; });
-  turn(s.loop, [&] { return get(place).find("\"answer\":\"served\"") != std::string::npos; });
-  start_anew();
-  EXPECT_EQ(get(place).substr(0, 4), "200 ");
-  EXPECT_NE(get(place).find("\"answer\":\"served\""), std::string::npos);
+  turn(s.loop, [&] { return get(location).find("\"answer\":\"served\"") != std::string::npos; });
+  restart();
+  EXPECT_EQ(get(location).substr(0, 4), "200 ");
+  EXPECT_NE(get(location).find("\"answer\":\"served\""), std::string::npos);
   EXPECT_EQ(get("/message/relay-0-999").substr(0, 4), "404 ");
   EXPECT_EQ(get("/message/other-1").substr(0, 4), "404 ");
-  EXPECT_EQ(get(place, "PUT").substr(0, 4), "405 ");
-  EXPECT_EQ(get(place, "DELETE").substr(0, 4), "204 ");
-  EXPECT_EQ(get(place).substr(0, 4), "404 ");
+  EXPECT_EQ(get(location, "PUT").substr(0, 4), "405 ");
+  EXPECT_EQ(get(location, "DELETE").substr(0, 4), "204 ");
+  EXPECT_EQ(get(location).substr(0, 4), "404 ");
   EXPECT_EQ(s.effects_of("p1"), 1u);
 }
 
@@ -83,7 +83,7 @@
   rest(s.loop, 50 * kMs);
   EXPECT_EQ(answer(push("/push/bank/pay", "id=k1;class=pay;", "k1")), "409");
   EXPECT_EQ(answer(push("/push/bank/pay", "id=other;class=pay;", "k1")), "422");
-  // Its client goes, and comes again: the message has gone on.
+  // The client disconnects and connects again; the message is still being processed.
   client = std::make_unique<Client>(s.loop, s.node->address());
   rest(s.loop, 20 * kMs);
   const auto again = push("/push/bank/pay", "id=k1;class=pay;", "k1");
@@ -92,7 +92,7 @@
   d.endpoints()[0]->end(standin::Fault::pause);
   EXPECT_EQ(answer(again), "201");
   EXPECT_EQ(answer(push("/push/bank/pay", "id=k1;class=pay;", "k1")), "201");
-  start_anew();
+  restart();
   EXPECT_EQ(answer(push("/push/bank/pay", "id=k1;class=pay;", "k1")), "201");
   EXPECT_EQ(s.effects_of("k1"), 1u);
   static_cast<void>(first);
@@ -101,14 +101,14 @@
 TEST_F(JournalService, WhatWasHeldIsDeliveredAndWhatIsInDoubtFails) {
   auto& d = s.add("bank", 1);
   start();
-  // Both took effect, and neither's answer came back.
+  // Both messages take effect, and no answer comes back for either.
   d.endpoints()[0]->begin({.fault = standin::Fault::answer_lost, .share = 1});
   push("/push/bank/pay", "id=out;class=pay;", "out");
   turn(s.loop, [&] { return s.effects_of("out") == 1; });
   push("/push/bank/status", "id=safe;class=status;", "safe");
   turn(s.loop, [&] { return s.effects_of("safe") >= 1; });
   d.endpoints()[0]->end(standin::Fault::answer_lost);
-  start_anew();
+  restart();
   EXPECT_TRUE(logged("2 messages held"));
   const auto out = push("/push/bank/pay", "id=out;class=pay;", "out");
   const auto safe = push("/push/bank/status", "id=safe;class=status;", "safe");
@@ -127,14 +127,15 @@
   const Time told = s.loop.refresh();
   for (auto& e : d.endpoints()) e->end(standin::Fault::shut);
   const auto before = s.calls();
-  start_anew();
+  restart();
   rest(s.loop, 1'500 * kMs);
   EXPECT_EQ(s.calls(), before);
   turn(s.loop, [&] { return s.effects_of("w") == 1; });
   EXPECT_GT(s.loop.refresh() - told, 1'700 * kMs);
 }
 
-// A journal whose bound is reached takes nothing more, delivers what it holds, and then takes again.
+// When the journal's limit is reached the relay rejects new messages, delivers those it holds, and then
+// accepts again.
 TEST_F(JournalService, AFullJournalTurnsAwayAndDeliversWhatItHolds) {
   s.settings.journal->segment = 64 << 10, s.settings.journal->disk_max = 512 << 10;
   auto& d = s.add("bank", 2);
@@ -156,14 +157,14 @@
   EXPECT_EQ(answer(push("/push/bank/status", "id=after;", "")), "201");
 }
 
-// 20,000 held at a start, more than may be held at once: all get their answers, and the partner, which is
-// cold, is not pushed over.
+// 20,000 messages are held at a start, more than may be open at once. All must get their answers, and the
+// partner, which is cold, must not be overloaded.
 TEST_F(JournalService, ALargeBacklogIsTakenUpWithoutPushingThePartnerOver) {
-  auto place = Service::quick();
-  place.servers = 8, place.service = 2 * kMs, place.queue = 200, place.cold = 1 * kS,
-  place.overload_for = 2 * kS;
+  auto slow_start = Service::quick();
+  slow_start.servers = 8, slow_start.service = 2 * kMs, slow_start.queue = 200, slow_start.cold = 1 * kS,
+  slow_start.overload_for = 2 * kS;
   s.settings.dispatcher.open_max = 25'000;
-  auto& d = s.add("bank", 2, place);
+  auto& d = s.add("bank", 2, slow_start);
   {
     auto files = store::open_folder(s.folder + "/journal");
     store::LogSettings settings;
@@ -194,7 +195,8 @@
   EXPECT_EQ(d.place_of("bank-1").falls(), 0);
 }
 
-// Started again and again before it has written a window's worth: its log must not grow by each run.
+// A relay that is restarted again and again, each time before it has written a window of records: its log
+// must not grow with each run.
 TEST_F(JournalService, ManyStartsDoNotFillTheJournal) {
   s.settings.journal->segment = 128 << 10, s.settings.journal->disk_max = 1 << 20;
   s.add("bank", 2);
@@ -203,7 +205,7 @@
     if (run == 0)
       start();
     else
-      start_anew();
+      restart();
     std::vector<http2::StreamId> streams;
     for (int i = 0; i < 60; i++)
       streams.push_back(push("/push/bank/status", "id=r;" + std::string(1'500, 'x'), ""));
@@ -227,10 +229,10 @@
   std::swap(names[2], names[0]);
   std::swap(s.settings.dispatcher.classes[2], s.settings.dispatcher.classes[0]);
   s.endpoint("bank-1").end(standin::Fault::answer_lost);
-  start_anew();
+  restart();
   EXPECT_TRUE(logged("1 messages ended: their class is gone"));
   EXPECT_EQ(answer(push("/push/bank/notice", "id=n;class=notice;", "n")), "201");
-  EXPECT_EQ(s.effects_of("p"), 1u);  // what had left before
+  EXPECT_EQ(s.effects_of("p"), 1u);  // the attempt sent before the restart
 }
 
 }  // namespace
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -1,4 +1,5 @@
-// The journal's parts alone: records, image, clocks across starts, the writer's thread on a failing disk.
+// Unit tests of the journal: records, materialized state, clocks across restarts, and the writer thread on a
+// failing disk.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -46,7 +47,7 @@
   image.apply(4, {30, record::Gone{7}});
   EXPECT_TRUE(image.answers().empty());
   ASSERT_EQ(image.remembered().count(7), 1u);
-  // It comes to the same when it is read again, alone.
+  // Reading only the rewritten record gives the same state.
   Image later;
   Record anew;
   const auto bytes = encode({40, image.remembered().at(7).as_record(7)});
@@ -62,16 +63,16 @@
   EXPECT_EQ(image.remembered().size(), 1u);
   image.forget_ends(5'000, 10'000);
   EXPECT_TRUE(image.remembered().empty());
-  later.forget_ends(0, 0);  // no room for any
+  later.forget_ends(0, 0);  // a limit of 0 bytes
   EXPECT_EQ(later.oldest(), 0u);
   EXPECT_EQ(later.bytes(), 0u);
-  // Handed over after its time it is not remembered.
+  // An answer delivered after its time is up is not remembered.
   image.apply(5, {60, answered});
   image.apply(6, {5'001, record::Gone{7}});
   EXPECT_TRUE(image.remembered().empty());
 }
 
-// What is written anew stands for all that was written before: a log that begins with it comes to the same.
+// Rewritten records replace all earlier ones: a log that begins with them gives the same state.
 TEST(Image, WhatIsCarriedStandsForAllBeforeIt) {
   std::mt19937_64 random(7);
   for (int round = 0; round < 50; round++) {
@@ -134,21 +135,22 @@
   }
 }
 
-// No message gets longer than it had, whatever the clocks do; within one boot only the monotonic one counts.
+// A message never gets more time than it had left, whatever the clocks do. Within one boot only the monotonic
+// clock counts.
 TEST(Recovery, ClocksAcrossStarts) {
   const auto left = [](const Clock& now) {
     Image image;
     image.apply(1, {100 * kS, record::Base{"a", 100 * kS, 1'000 * kS, 1, 0, 1}});
-    image.apply(2, {110 * kS, taken(1, 130 * kS)});  // 20 s were left when it was last heard of
+    image.apply(2, {110 * kS, taken(1, 130 * kS)});  // 20 s were left at the last record
     const auto base = begin(image, now);
     image.apply(3, {now.monotonic, base});
     return image.held().at(1).now.deadline - now.monotonic;
   };
   EXPECT_EQ(left({"a", 115 * kS, 1'015 * kS}), 15 * kS);
   EXPECT_EQ(left({"a", 115 * kS, 5 * kS}), 15 * kS);          // the wall clock was moved
-  EXPECT_EQ(left({"b", 3 * kS, 1'018 * kS}), 12 * kS);        // another boot: 18 s after the base
+  EXPECT_EQ(left({"b", 3 * kS, 1'018 * kS}), 12 * kS);        // another boot, 18 s after the Base
   EXPECT_EQ(left({"b", 3 * kS, 500 * kS}), 20 * kS);          // and the wall clock was moved back
-  EXPECT_EQ(left({"b", 300 * kS, 9'000 * kS}), -7'970 * kS);  // long over
+  EXPECT_EQ(left({"b", 300 * kS, 9'000 * kS}), -7'970 * kS);  // long past its deadline
 }
 
 TEST(Records, ALaterVersionsAreRefusedOrPassedOverAsTheySay) {
@@ -159,13 +161,14 @@
   EXPECT_NE(decode("\xff\xff", r), "");
 }
 
-struct Written {
+// A writer on a faulty folder, with the owner's thread played by until().
+struct WriterFixture {
   std::mutex mutex;
   std::vector<std::function<void()>> posted;
-  std::atomic<int> error{0};       // of calls to the disk that take room
-  std::atomic<int> sync_error{0};  // of syncs
+  std::atomic<int> error{0};       // errno of calls that need space on the device; 0: none
+  std::atomic<int> sync_error{0};  // errno of syncs; 0: none
   std::unique_ptr<store::Writer> writer;
-  explicit Written(std::size_t segments = 16) {
+  explicit WriterFixture(std::size_t segments = 16) {
     auto files = std::make_unique<FaultyFiles>(1);
     files->before = [this](const char* call) -> std::error_code {
       const std::string name = call;
@@ -184,6 +187,7 @@
                                                                   [] {}});
     EXPECT_FALSE(writer->open([](store::Sequence, std::string_view) {}).problem);
   }
+  // Runs posted functions until `done`, for at most 30,000 turns of 1 ms.
   template <class Done>
   void until(Done done) {
     for (int i = 0; i < 30'000 && !done(); i++) {
@@ -200,7 +204,7 @@
 };
 
 TEST(Writer, AFullDeviceIsToldAndPasses) {
-  Written w;
+  WriterFixture w;
   store::Sequence last = 0;
   for (int i = 0; i < 100; i++) last = w.writer->append(std::string(100, 'a'));
   w.until([&] { return w.writer->durable() == last; });
@@ -217,7 +221,7 @@
 }
 
 TEST(Writer, AFailedSyncIsNeverTrustedAgain) {
-  Written w;
+  WriterFixture w;
   w.sync_error = EIO;
   EXPECT_NE(w.writer->append("a"), 0u);
   w.until([&] { return w.writer->state() == store::Writer::State::failed; });
@@ -228,10 +232,10 @@
 }
 
 TEST(Writer, TheBoundStopsTakingAndReleasesMakeRoom) {
-  Written w(8);
+  WriterFixture w(8);
   store::Sequence last = 0;
   while (w.writer->room()) last = w.writer->append(std::string(500, 'a'));
-  // The half that is left is for what must still be written.
+  // The other half of the limit is for records that must still be written.
   for (int i = 0; i < 10; i++) last = w.writer->append(std::string(500, 'b'));
   w.until([&] { return w.writer->durable() == last; });
   EXPECT_FALSE(w.writer->room());
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,4 +1,4 @@
-// The log under a file system that loses what was not synced: a crash at every call that changes anything,
+// The log on a file system that loses data that was not synced: a crash at every call that changes a file,
 // and at every call of the recovery after it; errors, short writes and flipped bits.
 #include <gtest/gtest.h>
 #include <stdlib.h>
@@ -25,6 +25,7 @@
   return s;
 }
 
+// What open() reads.
 struct Recovered {
   Log::Opened opened;
   std::vector<std::pair<Sequence, std::string>> records;
@@ -34,7 +35,7 @@
   r.opened = log.open([&](Sequence n, std::string_view bytes) { r.records.emplace_back(n, bytes); });
   return r;
 }
-// Whatever is there is an unbroken run of what was written, up to `durable` at least.
+// The records read must be an unbroken sequence of those written, up to `durable` at least.
 void check(const Recovered& r, Sequence released, Sequence durable, Sequence appended) {
   ASSERT_FALSE(r.opened.problem) << r.opened.problem->text;
   EXPECT_LE(r.opened.first, released + 1);
@@ -48,9 +49,10 @@
   EXPECT_EQ(n, r.opened.next);
 }
 
+// Writes to a log and tracks what must be found in it.
 struct Work {
   Sequence durable = 0, released = 0, appended = 0;
-  // Three to five records a commit over several segments, and old ones released on the way.
+  // Commits three to five records at a time over several segments, and releases old ones in between.
   void go(Log& log, int commits) {
     for (int i = 0; i < commits; i++) {
       for (int k = 0; k < 3 + i % 3; k++) {
@@ -90,7 +92,7 @@
       if (!crashed) break;
       crashes++;
       files.crash();
-      // And again at every call of the recovery: the third life must find the same.
+      // A second crash at every call of the recovery: the third opening must find the same.
       for (std::size_t again = 1;; again++) {
         FaultyFiles copy = files;
         copy.calls = 0;
@@ -114,7 +116,7 @@
         check(r, run.released, run.durable, run.appended);
         if (::testing::Test::HasFatalFailure())
           FAIL() << "seed " << seed << ", call " << at << ", again " << again;
-        // It goes on from there.
+        // The log can be written to from there.
         Work more = run;
         more.appended = r.opened.next - 1;
         more.go(log, 3);
@@ -158,7 +160,7 @@
         EXPECT_NE(r.opened.problem->text.find(name), std::string::npos);
         told++;
       } else if (r.records.size() < sound.records.size()) {
-        // Nothing behind it says that it had been durable: only the last commit may be taken for torn.
+        // No later record says that this one had been durable, so only the last commit may count as torn.
         EXPECT_GE(r.records.size() + 5, sound.records.size()) << name << ' ' << at;
         cut++;
       }
@@ -178,7 +180,7 @@
     if (std::string_view(call).substr(0, 4) == "sync") return std::error_code();
     return --left < 0 && left > -8 ? std::make_error_code(std::errc::no_space_on_device) : std::error_code();
   };
-  // The same records until there is room again: none is lost, none comes twice.
+  // Commits are repeated until there is space again: no record is lost or written twice.
   for (int i = 0; i < 20; i++) {
     const auto n = log.next();
     ASSERT_EQ(log.append(content(n)), Log::Appended::yes);
@@ -195,7 +197,7 @@
   files.before = nullptr;
   EXPECT_TRUE(log.failed());
   EXPECT_EQ(log.append(content(22)), Log::Appended::failed);
-  EXPECT_TRUE(log.commit()) << "though the device works again";
+  EXPECT_TRUE(log.commit()) << "a failed log must stay failed although the device works again";
   files.crash();
   Log next(files, small(), 7);
   check(read(next), 0, 20, 21);
