--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -13,9 +13,9 @@
 namespace cedarplank::loop {
 namespace {
 
-// Signal handlers may only touch lock-free atomics and write(2).
+// A signal handler may use only lock-free atomics and async-signal-safe calls such as write(2).
 std::atomic<int> signal_pipe{-1};
-std::atomic<unsigned long long> signals_seen{0};  // bit by signal number
+std::atomic<unsigned long long> signals_seen{0};  // one bit for each signal number
 
 void handle_signal(int signal) {
   const int saved = errno;
@@ -23,7 +23,7 @@
   const int fd = signal_pipe.load();
   if (fd >= 0) {
     const char byte = 's';
-    [[maybe_unused]] const auto n = write(fd, &byte, 1);  // full pipe: the loop wakes anyway
+    [[maybe_unused]] const auto n = write(fd, &byte, 1);  // a full pipe already wakes the loop
   }
   errno = saved;
 }
@@ -39,7 +39,7 @@
 Loop::Loop() {
   int fds[2];
   if (pipe2(fds, O_NONBLOCK | O_CLOEXEC) != 0)
-    throw std::system_error(errno, std::generic_category(), "event loop: pipe");
+    throw std::system_error(errno, std::generic_category(), "event loop: cannot create the wake-up pipe");
   pipe_read_ = fds[0], pipe_write_ = fds[1];
   polled_.push_back({pipe_read_, POLLIN, 0});
   refresh();
@@ -73,7 +73,7 @@
   polled_.pop_back();
   if (index < polled_.size()) watches_[static_cast<std::size_t>(polled_[index].fd)].index = index;
   watches_[at].serial = 0;
-  // The callback may be the one that runs now: it is destroyed at the end of the turn.
+  // The callback may be running now, so it is destroyed at the end of this iteration.
   if (watches_[at].callback) defer([keep = std::move(watches_[at].callback)] {});
   watches_[at].callback = nullptr;
 }
@@ -124,16 +124,16 @@
 }
 
 void Loop::run_timers() {
-  // Timers that a callback adds wait for the next turn when they are due already: one that sets itself
-  // again with no delay must not starve the descriptors.
+  // A timer that a callback adds runs in the next iteration at the earliest, even if it is already due:
+  // a timer that re-arms itself with no delay must not starve the descriptors.
   const Time until = now_;
-  std::size_t most = timers_.size();
+  std::size_t remaining = timers_.size();
   Callback callback;
-  while (most-- > 0 && timers_.pop_due(until, callback)) callback();
+  while (remaining-- > 0 && timers_.pop_due(until, callback)) callback();
 }
 
 void Loop::run_deferred() {
-  // What a deferred call defers runs in the same turn too, a bounded number of times over.
+  // Calls deferred by a deferred call run in the same iteration too, for at most 16 passes.
   for (int pass = 0; pass < 16 && !deferred_.empty(); pass++) {
     running_.swap(deferred_);
     for (auto& callback : running_) callback();
@@ -141,17 +141,17 @@
   }
 }
 
-void Loop::run_once(Time most_wait) {
-  Time wait = most_wait;
+void Loop::run_once(Time max_wait) {
+  Time wait = max_wait;
   const Time next = timers_.next();
   if (next != kNoDeadline) {
-    const Time until = std::max<Time>(0, next - monotonic_now());
-    wait = wait < 0 ? until : std::min(wait, until);
+    const Time timer_wait = std::max<Time>(0, next - monotonic_now());
+    wait = wait < 0 ? timer_wait : std::min(wait, timer_wait);
   }
   if (!deferred_.empty()) wait = 0;
-  // poll(2) counts milliseconds: rounded up, since waking early would spin.
-  constexpr Time kMostWait = 3'600'000'000;
-  const int timeout = wait < 0 ? -1 : static_cast<int>((std::min(wait, kMostWait) + 999) / 1000);
+  // poll(2) takes milliseconds. Rounded up, because the loop would spin if it woke before the timer is due.
+  constexpr Time kMaxWait = 3'600'000'000;  // microseconds
+  const int timeout = wait < 0 ? -1 : static_cast<int>((std::min(wait, kMaxWait) + 999) / 1000);
   const int n = poll(polled_.data(), polled_.size(), timeout);
   refresh();
   if (n > 0) {
@@ -167,8 +167,9 @@
     for (std::size_t i = 0; i < ready_.size(); i++) {
       const Ready ready = ready_[i];
       const auto at = static_cast<std::size_t>(ready.fd);
-      if (at >= watches_.size() || watches_[at].serial != ready.serial) continue;  // gone meanwhile
-      // watches_ may be resized by the callback, so it is called through a copy that stays put.
+      if (at >= watches_.size() || watches_[at].serial != ready.serial)
+        continue;  // removed or replaced by an earlier callback
+      // The callback may resize watches_, so a local copy is called.
       const IoCallback callback = watches_[at].callback;
       callback(ready.revents);
     }
--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -1,8 +1,8 @@
-// One event loop on poll(2), for one thread: descriptors, one-shot timers, deferred calls, and wake-ups from
+// A single-threaded event loop on poll(2): descriptors, one-shot timers, deferred calls, and wake-ups from
 // other threads and from signals through a self-pipe.
 //
-// Times are in microseconds of CLOCK_MONOTONIC. Everything but post() and stop() belongs to the loop's
-// thread. Callbacks may add and remove anything, themselves included.
+// Times are in microseconds of CLOCK_MONOTONIC. Only post() and stop() may be called from other threads.
+// Callbacks may add and remove watches and timers, their own included.
 #pragma once
 
 #include <poll.h>
@@ -16,7 +16,7 @@
 
 namespace cedarplank::loop {
 
-// Monotonic clock in microseconds; comparable between processes of one machine.
+// CLOCK_MONOTONIC in microseconds; comparable between processes on one machine.
 Time monotonic_now();
 
 class Loop {
@@ -24,51 +24,57 @@
   // `events` and `revents` are poll(2)'s (POLLIN, POLLOUT, POLLERR, POLLHUP).
   using IoCallback = std::function<void(short revents)>;
 
-  // Throws std::system_error where the self-pipe can't be made.
+  // Throws std::system_error if the self-pipe can't be created.
   Loop();
   ~Loop();
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  // The time at which this turn of the loop began; refresh() reads the clock anew.
+  // The time at which this iteration's poll(2) returned, or of the last refresh(), which reads the clock.
   Time now() const { return now_; }
   Time refresh() { return now_ = monotonic_now(); }
 
-  void watch(int fd, short events, IoCallback callback);  // at most one watch a descriptor
+  // Calls `callback` whenever one of `events` is ready. Replaces an earlier watch of the same descriptor.
+  void watch(int fd, short events, IoCallback callback);
+  // Sets the events of an existing watch; does nothing without one.
   void change(int fd, short events);
-  void unwatch(int fd);  // no callback for `fd` comes after this, not even one that is ready now
+  // The callback of `fd` is not called after this, even if it is already known to be ready.
+  void unwatch(int fd);
 
+  // Timers: run `callback` once, after `delay` or at `deadline`. cancel() returns false if it has already
+  // run.
   TimerId after(Time delay, Callback callback) {
     return timers_.add(monotonic_now() + delay, std::move(callback));
   }
   TimerId at(Time deadline, Callback callback) { return timers_.add(deadline, std::move(callback)); }
   bool cancel(TimerId id) { return timers_.cancel(id); }
 
-  // Runs at the end of this turn, before the next poll.
+  // Runs `callback` at the end of this iteration, before the next poll.
   void defer(Callback callback) { deferred_.push_back(std::move(callback)); }
-  // From any thread: runs on the loop's thread in its next turn. Wake-ups are coalesced.
+  // Runs `callback` on the loop's thread in its next iteration. May be called from any thread; wake-ups are
+  // coalesced.
   void post(Callback callback);
-  // Delivers `signal` as a callback on the loop. One loop of a process may own a signal.
+  // Runs `callback` on the loop when `signal` arrives. Only one loop of a process may handle signals.
   void on_signal(int signal, Callback callback);
 
   void run();   // until stop()
   void stop();  // from any thread
-  // One turn: waits at most `most_wait` us (negative: until something happens).
-  void run_once(Time most_wait);
+  // One iteration: waits at most `max_wait` microseconds (negative: until an event or timer).
+  void run_once(Time max_wait);
 
  private:
   struct Watch {
     IoCallback callback;
-    std::uint64_t serial = 0;  // tells a reused descriptor number from the one that was ready
-    std::size_t index = 0;     // place in polled_
+    std::uint64_t serial = 0;  // 0: no watch; tells a reused descriptor number from the one that was ready
+    std::size_t index = 0;     // position in polled_
   };
-  void drain_pipe();
+  void drain_pipe();  // empties the self-pipe, then runs posted callbacks and signal callbacks
   void run_timers();
   void run_deferred();
 
   TimerQueue timers_;
-  std::vector<pollfd> polled_;  // dense; polled_[0] is the self-pipe
-  std::vector<Watch> watches_;  // by descriptor
+  std::vector<pollfd> polled_;  // without gaps; polled_[0] is the self-pipe
+  std::vector<Watch> watches_;  // indexed by descriptor
   std::uint64_t next_serial_ = 1;
   struct Ready {
     int fd;
@@ -81,7 +87,7 @@
   int pipe_read_ = -1, pipe_write_ = -1;
   std::mutex mutex_;
   std::vector<Callback> posted_;  // guarded by mutex_
-  bool woken_ = false;            // guarded by mutex_: a byte is already in the pipe
+  bool woken_ = false;            // guarded by mutex_; a byte is already in the pipe
   bool stopping_ = false;         // guarded by mutex_
   Time now_ = 0;
 };
--- a/src/loop/timers.hpp
+++ b/src/loop/timers.hpp
@@ -1,5 +1,5 @@
-// One-shot timers behind one interface, in two structures: an indexed heap and a hierarchical wheel.
-// bench/loop_bench.cpp times one against the other; the loop uses the one named by `TimerQueue` below.
+// One-shot timers: an indexed heap and a hierarchical timer wheel with the same interface. The loop uses the
+// one named by `TimerQueue` below.
 //
 // All times are in microseconds of the loop's monotonic clock. Neither structure reads a clock.
 #pragma once
@@ -17,12 +17,12 @@
 namespace cedarplank::loop {
 
 using Time = std::int64_t;
-using TimerId = std::uint64_t;  // never reused; 0 names no timer
+using TimerId = std::uint64_t;  // never reused; 0 is never the id of a timer
 using Callback = std::function<void()>;
 constexpr Time kNoDeadline = std::numeric_limits<Time>::max();
 
-// Exact order, O(log n) to add, cancel and expire. Cancelled timers leave at once, so that a message's
-// time-out that never fires holds no memory.
+// Indexed heap: fires timers in exact order; adding, cancelling and expiring take O(log n). A cancelled timer
+// is removed at once, so that a message's time-out that never fires holds no memory.
 class TimerHeap {
  public:
   TimerId add(Time deadline, Callback callback) {
@@ -40,7 +40,7 @@
   }
   // The earliest deadline, or kNoDeadline.
   Time next() const { return heap_.empty() ? kNoDeadline : heap_.front().deadline; }
-  // Takes out one timer that is due; false where none is.
+  // Removes one due timer and sets `callback` to its callback. Returns false if no timer is due.
   bool pop_due(Time now, Callback& callback) {
     if (heap_.empty() || heap_.front().deadline > now) return false;
     callback = std::move(heap_.front().callback);
@@ -50,13 +50,15 @@
   std::size_t size() const { return heap_.size(); }
 
  private:
-  static constexpr std::size_t kWays = 4;  // flatter than binary: fewer cache lines on the way up
+  // Children of a node. Flatter than a binary heap, so that moving an entry up touches fewer cache lines.
+  static constexpr std::size_t kWays = 4;
   struct Entry {
     Time deadline;
     TimerId id;
     Callback callback;
     bool before(const Entry& o) const {
-      return deadline != o.deadline ? deadline < o.deadline : id < o.id;  // equal deadlines: first come
+      return deadline != o.deadline ? deadline < o.deadline
+                                    : id < o.id;  // equal deadlines: in the order of adding
     }
   };
   void up(std::size_t i) {
@@ -93,9 +95,9 @@
   TimerId last_id_ = 0;
 };
 
-// Hierarchical wheel (Varghese and Lauck): six levels of 64 slots, 256 us a slot on the lowest. A timer fires
-// in the first slot that ends at or after its deadline, so up to 256 us late, and in no set order with others
-// of the same slot; O(1) to add and cancel.
+// Hierarchical timer wheel (Varghese and Lauck): six levels of 64 slots; a slot of the lowest level spans
+// 256 us. A timer fires in the first slot that ends at or after its deadline, so up to 256 us late, and in no
+// particular order with other timers of the same slot. Adding and cancelling take O(1).
 class TimerWheel {
  public:
   TimerWheel() { heads_.fill(kNone); }
@@ -122,10 +124,11 @@
     unlink(n), release(n);
     return true;
   }
+  // A lower bound of the earliest deadline, or kNoDeadline; 0 if a timer is already due.
   Time next() {
     if (due_ != kNone) return 0;
     if (size_ == 0) return kNoDeadline;
-    // The lowest occupied slot of the lowest occupied level bounds the earliest deadline from below.
+    // The start of each level's next occupied slot is a lower bound of the deadlines in that level.
     std::uint64_t best = std::numeric_limits<std::uint64_t>::max();
     for (unsigned level = 0; level < kLevels; level++) {
       if (used_[level] == 0) continue;
@@ -157,26 +160,29 @@
   std::size_t size() const { return size_; }
 
  private:
-  static constexpr Time kTick = 256;
+  static constexpr Time kTick = 256;  // microseconds
   static constexpr unsigned kBits = 6, kLevels = 6, kSlots = 1u << kBits;
   static constexpr std::uint64_t kMask = kSlots - 1;
   static constexpr std::uint32_t kNone = 0xffffffff;
   static constexpr std::uint32_t kDueList = kLevels * kSlots;
+  // A timer in the list of its slot, or a free node.
   struct Node {
     Callback callback;
-    std::uint64_t tick = 0;
+    std::uint64_t tick = 0;  // at which it fires
     std::uint32_t next = kNone, prev = kNone, slot = 0, generation = 1;
     bool live = false;
   };
   std::uint32_t& head(std::uint32_t slot) { return slot == kDueList ? due_ : heads_[slot]; }
+  // Puts node `n` into the slot of its tick, or into the due list.
   void link(std::uint32_t n) {
-    const std::uint64_t most = (std::uint64_t{1} << (kBits * kLevels)) - 1;
-    const std::uint64_t tick = std::min(nodes_[n].tick, base_ + most);
-    const std::uint64_t apart = tick ^ base_;
+    // A timer beyond the wheel's range goes into its farthest slot and is linked again when that is reached.
+    const std::uint64_t max_ahead = (std::uint64_t{1} << (kBits * kLevels)) - 1;
+    const std::uint64_t tick = std::min(nodes_[n].tick, base_ + max_ahead);
+    const std::uint64_t differing = tick ^ base_;
     const unsigned level =
-        apart == 0
-            ? 0
-            : std::min<unsigned>(kLevels - 1, (63u - static_cast<unsigned>(std::countl_zero(apart))) / kBits);
+        differing == 0 ? 0
+                       : std::min<unsigned>(
+                             kLevels - 1, (63u - static_cast<unsigned>(std::countl_zero(differing))) / kBits);
     const auto slot = level * kSlots + static_cast<std::uint32_t>((tick >> (level * kBits)) & kMask);
     push(n, tick <= base_ ? kDueList : slot);
   }
@@ -199,7 +205,8 @@
     node.next = free_, free_ = n;
     size_--;
   }
-  // Moves to the next tick at which a slot must be opened, cascading higher levels down.
+  // Moves `base_` to the next tick at which a slot becomes current (`target` at most) and distributes the
+  // timers of the slots that become current there to lower levels or to the due list.
   void advance(std::uint64_t target) {
     std::uint64_t to = target;
     for (unsigned level = 0; level < kLevels; level++) {
@@ -217,6 +224,7 @@
       open(level * kSlots + static_cast<std::uint32_t>((base_ >> shift) & kMask));
     }
   }
+  // Empties a slot and links its timers anew.
   void open(std::uint32_t slot) {
     std::uint32_t n = heads_[slot];
     heads_[slot] = kNone;
@@ -230,13 +238,13 @@
 
   std::vector<Node> nodes_;
   std::array<std::uint32_t, kLevels * kSlots> heads_{};
-  std::array<std::uint64_t, kLevels> used_{};
-  std::uint32_t free_ = kNone, due_ = kNone;
-  std::uint64_t base_ = 0;
+  std::array<std::uint64_t, kLevels> used_{};  // a bit for each occupied slot
+  std::uint32_t free_ = kNone, due_ = kNone;   // heads of the lists of free nodes and of due timers
+  std::uint64_t base_ = 0;                     // the current tick
   std::size_t size_ = 0;
 };
 
-// docs/design/loop.md has the figures that chose it.
+// The structure that the loop uses.
 using TimerQueue = TimerWheel;
 
 }  // namespace cedarplank::loop
--- a/src/net/datagram.cpp
+++ b/src/net/datagram.cpp
@@ -10,7 +10,7 @@
     : loop_(loop), received_(std::move(received)) {
   fd_ = Fd(socket(on.family(), SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd_ || bind(fd_.get(), on.data(), on.size()) != 0)
-    throw std::system_error(errno, std::generic_category(), "datagrams on " + on.text());
+    throw std::system_error(errno, std::generic_category(), "UDP socket on " + on.text());
   loop_.watch(fd_.get(), POLLIN, [this](short) {
     char buffer[2048];
     for (int i = 0; i < 64; i++) {
--- a/src/net/datagram.hpp
+++ b/src/net/datagram.hpp
@@ -1,4 +1,4 @@
-// Datagrams on the loop: short notes that may be lost.
+// A UDP socket on the event loop. Datagrams may be lost.
 #pragma once
 
 #include <functional>
@@ -10,12 +10,14 @@
 
 class Datagrams {
  public:
-  // Throws std::system_error naming the address. `from` is the sender's address.
+  // Binds to `on` and calls `received` for each datagram, with the sender's address in `from`. Throws
+  // std::system_error naming the address.
   Datagrams(loop::Loop& loop, const Address& on,
             std::function<void(std::string_view, const Address& from)> received);
   ~Datagrams();
   Address address() const { return Address::of_socket(fd_.get()); }
-  void send(const Address& to, std::string_view bytes);  // lost where the kernel has no room
+  // Sends one datagram; it is lost if the kernel's send buffer is full or on any other error.
+  void send(const Address& to, std::string_view bytes);
 
  private:
   loop::Loop& loop_;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -18,18 +18,19 @@
 namespace cedarplank::net {
 namespace {
 
-std::size_t io_limit = 0;
+std::size_t io_limit = 0;  // bytes of one read or write, for tests; 0: no limit
 constexpr std::size_t kReadSize = 32 * 1024;
-constexpr int kReadsPerTurn = 4;  // so that one busy peer can't hold the loop
-constexpr Time kAcceptAgain = 100'000;
+constexpr int kReadsPerTurn = 4;             // limits how long one busy peer can occupy the loop
+constexpr Time kAcceptRetryDelay = 100'000;  // microseconds
 
-// Errors of this machine that may pass: they say nothing of the other side.
-bool of_this_machine(int error) {
+// Whether an error is a local condition that may pass, such as a lack of descriptors, memory or ports. It
+// says nothing about the peer.
+bool is_temporary_local_error(int error) {
   return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM ||
          error == EADDRNOTAVAIL || error == ENETUNREACH || error == EAGAIN;
 }
 
-// With {1, 0} a close resets the connection and drops what has not been acknowledged (socket(7)).
+// With {1, 0} closing resets the connection and discards data that has not been acknowledged (socket(7)).
 void set_linger(int fd, linger how) { setsockopt(fd, SOL_SOCKET, SO_LINGER, &how, sizeof how); }
 
 }  // namespace
@@ -50,18 +51,18 @@
   const char *first = text.data() + colon + 1, *last = text.data() + text.size();
   const auto [end, error] = std::from_chars(first, last, port);
   if (error != std::errc() || end != last || first == last || port > 65535)
-    bad("the port is no number up to 65535");
+    bad("the port is not a number from 0 to 65535");
   std::string host = text.substr(0, colon);
   Address a;
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') {
     host = host.substr(1, host.size() - 2);
     auto* in6 = reinterpret_cast<sockaddr_in6*>(&a.storage_);
-    if (inet_pton(AF_INET6, host.c_str(), &in6->sin6_addr) != 1) bad("is no IPv6 address");
+    if (inet_pton(AF_INET6, host.c_str(), &in6->sin6_addr) != 1) bad("is not an IPv6 address");
     in6->sin6_family = AF_INET6, in6->sin6_port = htons(static_cast<std::uint16_t>(port));
     a.size_ = sizeof(sockaddr_in6);
   } else {
     auto* in = reinterpret_cast<sockaddr_in*>(&a.storage_);
-    if (inet_pton(AF_INET, host.c_str(), &in->sin_addr) != 1) bad("is no IPv4 address");
+    if (inet_pton(AF_INET, host.c_str(), &in->sin_addr) != 1) bad("is not an IPv4 address");
     in->sin_family = AF_INET, in->sin_port = htons(static_cast<std::uint16_t>(port));
     a.size_ = sizeof(sockaddr_in);
   }
@@ -100,7 +101,7 @@
   return std::string(buffer) + ":" + std::to_string(ntohs(in->sin_port));
 }
 
-void TcpStream::limit_io(std::size_t most) { io_limit = most; }
+void TcpStream::limit_io(std::size_t max_bytes) { io_limit = max_bytes; }
 
 TcpStream::TcpStream(loop::Loop& loop, Fd fd, Handlers handlers)
     : loop_(loop), fd_(std::move(fd)), handlers_(std::move(handlers)) {
@@ -113,22 +114,23 @@
 TcpStream::TcpStream(loop::Loop& loop, const Address& to, Time connect_timeout, Handlers handlers)
     : loop_(loop), handlers_(std::move(handlers)), connecting_(true) {
   const auto fail = [this](std::string why) {
-    // Told in a later call, so that the owner has this object by then.
+    // Reported by a deferred call, because the owner has no pointer to this object before the constructor
+    // returns.
     loop_.defer([this, alive = alive_, why = std::move(why)] {
       if (*alive) end(why);
     });
   };
   fd_ = Fd(socket(to.family(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd_) {
-    failed_here_ = of_this_machine(errno);
+    failed_here_ = is_temporary_local_error(errno);
     fail(std::string("socket: ") + std::strerror(errno));
     return;
   }
   const int on = 1;
   setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  // Interrupted, it goes on by itself, as without blocking.
+  // A connect() that a signal interrupts continues in the background, as a non-blocking one does.
   if (connect(fd_.get(), to.data(), to.size()) != 0 && errno != EINPROGRESS && errno != EINTR) {
-    failed_here_ = of_this_machine(errno);
+    failed_here_ = is_temporary_local_error(errno);
     fail(std::string("connect: ") + std::strerror(errno));
     return;
   }
@@ -157,8 +159,8 @@
     if (*alive) update_events();
     return;
   }
-  // Told by poll(2) whatever is asked for, and at every look until it is dealt with: a paused stream has no
-  // other way to hear that its peer has gone. Guards against a loop that spins on it.
+  // poll(2) reports POLLHUP and POLLERR whatever events are requested, on every call until they are handled.
+  // A paused stream has no other way to learn that its peer has gone; ignored, they would make the loop spin.
   if ((paused_ || read_all_) && !finishing_ && (revents & (POLLHUP | POLLERR))) {
     int error = 0;
     socklen_t size = sizeof error;
@@ -173,9 +175,9 @@
 void TcpStream::read_some() {
   static thread_local char buffer[kReadSize];
   const auto alive = alive_;
-  const std::size_t most = io_limit > 0 ? std::min(io_limit, kReadSize) : kReadSize;
+  const std::size_t read_size = io_limit > 0 ? std::min(io_limit, kReadSize) : kReadSize;
   for (int i = 0; i < kReadsPerTurn && *alive && (!paused_ || finishing_); i++) {
-    const auto n = recv(fd_.get(), buffer, most, 0);
+    const auto n = recv(fd_.get(), buffer, read_size, 0);
     if (n > 0) {
       if (!finishing_ && handlers_.data) handlers_.data({buffer, static_cast<std::size_t>(n)});
       continue;
@@ -211,7 +213,8 @@
       return;
     }
     if (sent < 0) {
-      // Told in a later call: write() must not end its owner in the middle of its work.
+      // Reported by a deferred call: `closed` may destroy the owner, which must not happen while it is in
+      // write().
       const std::string why = std::string("write: ") + std::strerror(errno);
       out_.clear(), out_at_ = 0;
       loop_.defer([this, alive, why] {
@@ -249,7 +252,7 @@
   if (!*alive_ || finishing_) return;
   finishing_ = true;
   loop_.cancel(timer_);
-  // The peer's close ends it, or this timer.
+  // The stream ends when the peer closes it or when this timer fires.
   timer_ = loop_.after(linger, [this] {
     timer_ = 0;
     end("closed here");
@@ -306,11 +309,11 @@
       if (fd < 0) {
         if (errno == EINTR || errno == ECONNABORTED) continue;
         if (errno == EAGAIN || errno == EWOULDBLOCK) return;
-        // Out of descriptors or memory: the connection stays in the backlog, and poll(2) tells of it at every
-        // look. Guards against a loop that spins on it.
+        // Out of descriptors or memory: the connection stays in the backlog, and poll(2) reports it on every
+        // call. Accepting is paused for a while so that the loop does not spin.
         pause(true);
         loop_.cancel(retry_);
-        retry_ = loop_.after(kAcceptAgain, [this] { pause(false); });
+        retry_ = loop_.after(kAcceptRetryDelay, [this] { pause(false); });
         return;
       }
       accepted_(Fd(fd));
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -1,4 +1,4 @@
-// Sockets on the loop: addresses, listeners, and a buffered byte stream without blocking.
+// Non-blocking TCP sockets on the event loop: addresses, listeners and buffered byte streams.
 #pragma once
 
 #include <sys/socket.h>
@@ -15,7 +15,7 @@
 
 using loop::Time;
 
-// A descriptor that closes itself.
+// Owns a file descriptor and closes it on destruction.
 class Fd {
  public:
   Fd() = default;
@@ -28,25 +28,26 @@
   }
   int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
+  // Gives up ownership without closing.
   int release() {
     const int fd = fd_;
     fd_ = -1;
     return fd;
   }
-  void reset(int fd = -1);
+  void reset(int fd = -1);  // closes the descriptor and takes ownership of `fd`
 
  private:
   int fd_ = -1;
 };
 
-// An IPv4 or IPv6 address with a port, as "127.0.0.1:80" or "[::1]:80". Names are not resolved here.
+// An IPv4 or IPv6 address with a port, such as "127.0.0.1:80" or "[::1]:80". Host names are not resolved.
 class Address {
  public:
-  // Throws std::invalid_argument naming the text.
+  // Throws std::invalid_argument, which quotes `text`.
   static Address parse(const std::string& text);
-  static Address of_socket(int fd);
-  static Address of_peer(int fd);  // of the other end; empty where it has gone
-  // One datagram into `buffer`, and where it came from into this; as recvfrom(2).
+  static Address of_socket(int fd);  // the local address that the socket is bound to
+  static Address of_peer(int fd);    // the remote address; empty if the socket is no longer connected
+  // Reads one datagram into `buffer` and sets this address to its sender's. Returns what recvfrom(2) returns.
   ssize_t receive(int fd, char* buffer, std::size_t size);
   const sockaddr* data() const { return reinterpret_cast<const sockaddr*>(&storage_); }
   socklen_t size() const { return size_; }
@@ -58,34 +59,37 @@
   socklen_t size_ = 0;
 };
 
-// A byte stream between two ends; the seam where TLS with ALPN comes in, over the same interface.
+// A byte stream between two endpoints. An interface, so that TLS with ALPN can be added behind it.
 class Stream {
  public:
   struct Handlers {
-    std::function<void()> connected;                 // the connection stands (only after connecting)
-    std::function<void(std::string_view)> data;      // bytes came
+    std::function<void()> connected;                 // connected; only for streams that connect themselves
+    std::function<void(std::string_view)> data;      // bytes were received
     std::function<void()> drained;                   // everything written has been handed to the kernel
-    std::function<void(const std::string&)> closed;  // the end: why; nothing comes after it
-    // The peer sends nothing more, and may still read. Not set: that is the end too.
+    std::function<void(const std::string&)> closed;  // closed, with the reason; no handler is called after it
+    // The peer has finished sending but may still read. If not set, the stream is closed in that case.
     std::function<void()> ended = {};
   };
   virtual ~Stream() = default;
+  // Buffers what the kernel does not accept at once.
   virtual void write(std::string_view bytes) = 0;
-  // Bytes accepted by write() and bytes that the kernel took, since the start.
+  // Bytes passed to write() so far, and those of them that have been handed to the kernel.
   virtual std::uint64_t queued() const = 0;
   virtual std::uint64_t flushed() const = 0;
   virtual void pause_reading(bool paused) = 0;
-  // Closes once what was written is out (at most `linger` us later); `closed` is still called.
+  // Sends what was written and shuts down the sending side; the stream ends when the peer closes it, or after
+  // `linger` microseconds. `closed` is still called.
   virtual void finish(Time linger) = 0;
-  // Closes at once, with a reset where `abort` is set. `closed` is not called.
+  // Closes at once, with a connection reset if `abort` is set. `closed` is not called.
   virtual void close(bool abort = false) = 0;
 };
 
+// A stream over a TCP connection.
 class TcpStream final : public Stream {
  public:
-  // Takes over a connected descriptor.
+  // Takes ownership of a connected descriptor.
   TcpStream(loop::Loop& loop, Fd fd, Handlers handlers);
-  // Starts connecting; `closed` tells of failure and of a time-out, `connect_timeout` in us.
+  // Starts connecting. Failure, or a time-out after `connect_timeout` microseconds, is reported to `closed`.
   TcpStream(loop::Loop& loop, const Address& to, Time connect_timeout, Handlers handlers);
   ~TcpStream() override;
 
@@ -95,17 +99,18 @@
   void pause_reading(bool paused) override;
   void finish(Time linger) override;
   void close(bool abort = false) override;
-  // From now on the system resets the connection where the process ends without closing it.
+  // From now on the kernel resets the connection if the process exits without closing it.
   void reset_on_exit();
   int descriptor() const { return fd_.get(); }
-  // Whether the peer's machine has not acknowledged all that the kernel took. A plain close goes on
-  // delivering such bytes; one with a reset does not.
+  // Whether some bytes that the kernel accepted have not been acknowledged by the peer's machine. After a
+  // plain close the kernel goes on delivering them; after a reset it does not.
   bool unacknowledged() const;
-  // It never began to connect, for want of something on this machine that may be there again soon.
+  // Whether connecting could not start because of a temporary shortage on this machine, such as of
+  // descriptors.
   bool failed_here() const { return failed_here_; }
 
-  // For tests: at most so many bytes a read or write (0: no limit).
-  static void limit_io(std::size_t most);
+  // For tests: limits each read and write to `max_bytes` (0: no limit).
+  static void limit_io(std::size_t max_bytes);
 
  private:
   void ready(short revents);
@@ -117,23 +122,25 @@
   loop::Loop& loop_;
   Fd fd_;
   Handlers handlers_;
-  std::string out_;
-  std::size_t out_at_ = 0;
+  std::string out_;         // bytes to write, and
+  std::size_t out_at_ = 0;  // how many of them the kernel has accepted
   std::uint64_t queued_ = 0, flushed_ = 0;
   bool failed_here_ = false, reset_on_exit_ = false;
   bool connecting_ = false, paused_ = false, finishing_ = false, read_all_ = false;
   short events_ = 0;
-  loop::TimerId timer_ = 0;
+  loop::TimerId timer_ = 0;  // connect time-out, or the time limit of finish()
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once closed or destroyed
 };
 
+// A listening TCP socket.
 class Listener {
  public:
-  // Throws std::system_error naming the address. `accepted` gets connected, non-blocking descriptors.
+  // Calls `accepted` with each connected, non-blocking descriptor. Throws std::system_error naming the
+  // address.
   Listener(loop::Loop& loop, const Address& on, std::function<void(Fd)> accepted, int backlog = 512);
   ~Listener();
   Address address() const { return Address::of_socket(fd_.get()); }
-  void pause(bool paused);
+  void pause(bool paused);  // stops or resumes accepting; connections wait in the backlog meanwhile
   int descriptor() const { return fd_.get(); }
 
  private:
@@ -141,7 +148,7 @@
   Fd fd_;
   std::function<void(Fd)> accepted_;
   bool paused_ = false;
-  loop::TimerId retry_ = 0;  // accepts again after running out of descriptors
+  loop::TimerId retry_ = 0;  // resumes accepting after a lack of descriptors or memory
 };
 
 }  // namespace cedarplank::net
--- a/src/record/smpp_tap.cpp
+++ b/src/record/smpp_tap.cpp
@@ -9,9 +9,11 @@
 namespace {
 
 namespace st = smpp::status;
-constexpr std::uint16_t kKey = 0x1401, kTopic = 0x1402, kWait = 0x1403;  // docs/operate/smpp.md
-constexpr std::uint32_t kRefusedStream = 7;
+// Tags of the vendor-specific TLVs: idempotency key, topic, and told wait or time to come back in seconds.
+constexpr std::uint16_t kKey = 0x1401, kTopic = 0x1402, kWait = 0x1403;
+constexpr std::uint32_t kRefusedStream = 7;  // HTTP/2 error code REFUSED_STREAM
 
+// The HTTP status for a command_status; empty for a refusal that is recorded as a reset of the stream.
 std::string status_of(smpp::Status s) {
   switch (s) {
     case st::ok:
@@ -25,7 +27,7 @@
       return "404";
     case st::queue_full:
     case st::wrong_bind_state:
-      return "";  // proves that it was not taken, as REFUSED_STREAM does
+      return "";  // proves that the message was not accepted, as REFUSED_STREAM does
     default:
       return "500";
   }
@@ -40,8 +42,8 @@
   if (side_ == Record::Side::endpoint || std::string_view(what) != "CLOSE") return Tap::note(at, what);
   for (const auto& [stream, call] : calls_) {
     if (call.answered > 0) continue;
-    Record r = fresh(at, true, "RST_STREAM", stream);  // the client has given it up
-    r.code = 8;
+    Record r = fresh(at, true, "RST_STREAM", stream);  // the client has given the message up
+    r.code = 8;                                        // CANCEL
     sink_(std::move(r));
   }
 }
@@ -66,7 +68,7 @@
     const auto it = client_.book->find(std::get<smpp::Cancel>(p.body).message_id);
     if (it == client_.book->end()) return;
     Record r = fresh(at, sent, "RST_STREAM", it->second.second);
-    r.connection = it->second.first, r.code = 8;
+    r.connection = it->second.first, r.code = 8;  // CANCEL
     client_.book->erase(it);
     return sink_(std::move(r));
   }
@@ -83,8 +85,8 @@
     return;
   }
   std::uint32_t stream = p.sequence;
-  const bool later = taken.part && taken.part->number > 1 && open_parts_.count(taken.part->reference) > 0;
-  if (later) stream = open_parts_.at(taken.part->reference);
+  const bool continues = taken.part && taken.part->number > 1 && open_parts_.count(taken.part->reference) > 0;
+  if (continues) stream = open_parts_.at(taken.part->reference);
   call_of_[p.sequence] = stream;
   auto& call = calls_[stream];
   call.seen++;
@@ -93,7 +95,7 @@
     open_parts_[taken.part->reference] = stream;
     if (call.seen == call.parts) open_parts_.erase(taken.part->reference);
   }
-  if (later) return;
+  if (continues) return;
   Record r = fresh(at, sent, "HEADERS", stream);
   r.fields[":method"] = "POST";
   r.fields["via"] = "SMPP " + system_id_;
@@ -130,17 +132,17 @@
   const auto* body = std::get_if<smpp::MessageResp>(&p.body);
   if (p.status != st::ok && call.status == "201") call.status = status_of(p.status);
   if (body != nullptr) call.wait = std::max(call.wait, smpp::number(body->tlvs, kWait).value_or(0));
-  const bool over = call.answered == call.seen && (call.seen == call.parts || call.status != "201");
-  if (!over) return;
-  const Call whole = call;
-  // At a client, being taken is no final answer: its receipt is.
+  const bool complete = call.answered == call.seen && (call.seen == call.parts || call.status != "201");
+  if (!complete) return;
+  const Call ended = call;
+  // At a client a successful response is not the final answer; the receipt is.
   if (side_ == Record::Side::client && p.status == st::ok && client_.book) {
     if (body != nullptr) (*client_.book)[body->message_id] = {connection_, stream};
     return;
   }
   calls_.erase(stream);
   const bool client = side_ == Record::Side::client;
-  answer(at, sent, connection_, stream, client && whole.status.empty() ? "503" : whole.status, whole.wait);
+  answer(at, sent, connection_, stream, client && ended.status.empty() ? "503" : ended.status, ended.wait);
 }
 
 void SmppTap::receipt(Time at, bool sent, const smpp::Pdu& p) {
@@ -153,6 +155,7 @@
   const auto [connection, stream] = it->second;
   client_.book->erase(it);
   const auto state = smpp::number(m.tlvs, smpp::tag::message_state).value_or(0);
+  // message_state: 2 is DELIVERED, 8 is REJECTED.
   answer(at, sent, connection, stream,
          state == 2   ? "201"
          : state == 8 ? "503"
--- a/src/record/smpp_tap.hpp
+++ b/src/record/smpp_tap.hpp
@@ -1,6 +1,6 @@
-// SMPP PDUs as they pass a socket, told in the terms of the other records, so that one checker judges both:
-// a submit is a request (HEADERS, then DATA that names the message), its response or receipt the answer to
-// it. Reads the raw bytes with a session of its own making: none.
+// Captures the SMPP PDUs that pass a socket as records of the same form as HTTP/2 frames, so that one checker
+// can check both: a submit becomes a request (HEADERS, then DATA with the message id), its response or
+// receipt the answer. Decodes the raw bytes without an SMPP session.
 #pragma once
 
 #include <map>
@@ -12,27 +12,31 @@
 
 namespace cedarplank::record {
 
-// Ids that a message centre gave to what one client submitted: receipts may come over another bind.
+// By message id that the relay assigned: connection and stream of the client's submit. Shared, because a
+// receipt may arrive over another bind of the client.
 using ReceiptBook = std::map<std::string, std::pair<std::uint64_t, std::uint32_t>>;
 
+// Captures SMPP PDUs.
 class SmppTap final : public Tap {
  public:
-  // At a client, `path_of` tells which destination and class a submit names, and `book` is shared by its
-  // binds to one relay.
+  // Needed only at a client. `path_of` returns the path with the destination and class that a submit names;
+  // `book` is shared by the client's binds to one relay.
   struct Client {
     std::function<std::string(const smpp::Message&)> path_of;
     std::shared_ptr<ReceiptBook> book;
   };
   SmppTap(Record::Side side, std::string place, std::uint64_t connection, Sink sink, Client client = {});
   void pass(Time at, bool sent, std::string_view bytes) override;
-  // CLOSE at a client: what has its message id is the relay's to answer still; only the rest is lost.
+  // On CLOSE at a client, records a reset for the submits without a response. Those that have a message id
+  // can still be answered by the relay.
   void note(Time at, const char* what) override;
 
  private:
+  // A message of one or more parts.
   struct Call {
-    int parts = 1, seen = 0, answered = 0;
-    std::string status = "201";  // the worst of its parts
-    std::uint32_t wait = 0;
+    int parts = 1, seen = 0, answered = 0;  // parts in all, submitted so far, and with a response
+    std::string status = "201";             // of the first part that failed, else 201
+    std::uint32_t wait = 0;                 // the longest wait given for a part, in seconds
   };
   void pdu(Time at, bool sent, const smpp::Pdu& p);
   void submit(Time at, bool sent, const smpp::Pdu& p);
@@ -43,10 +47,12 @@
 
   Client client_;
   smpp::Framer in_, out_;
-  std::string system_id_;                           // from the bind
-  std::map<std::uint32_t, std::uint32_t> call_of_;  // by sequence: the first part's
-  std::map<std::uint32_t, Call> calls_;
-  std::map<std::uint16_t, std::uint32_t> open_parts_;  // by reference
+  std::string system_id_;  // from the bind
+  // By a part's sequence number: that of the message's first part, which serves as its stream.
+  std::map<std::uint32_t, std::uint32_t> call_of_;
+  std::map<std::uint32_t, Call> calls_;  // by stream
+  // By part reference: the stream of a message of which more parts are to come.
+  std::map<std::uint16_t, std::uint32_t> open_parts_;
 };
 
 }  // namespace cedarplank::record
--- a/src/record/tap.cpp
+++ b/src/record/tap.cpp
@@ -9,9 +9,10 @@
 namespace cedarplank::record {
 namespace {
 
-constexpr std::size_t kBodyKept = 96;
+constexpr std::size_t kBodyPrefixBytes = 96;  // bytes at the start of a body, searched for the message id
 
-std::string_view strip(const http2::FrameHeader& h, std::string_view payload) {
+// The payload without its padding.
+std::string_view without_padding(const http2::FrameHeader& h, std::string_view payload) {
   if (!h.has(http2::flag::padded) || payload.empty()) return payload;
   const std::size_t padding = static_cast<unsigned char>(payload[0]);
   payload.remove_prefix(1);
@@ -64,7 +65,7 @@
 Record from_json(std::string_view line) {
   rapidjson::Document d;
   d.Parse(line.data(), line.size());
-  if (d.HasParseError() || !d.IsObject()) throw std::runtime_error("a record is no JSON object");
+  if (d.HasParseError() || !d.IsObject()) throw std::runtime_error("the record is not a JSON object");
   const auto text = [&](const char* key) {
     if (!d.HasMember(key) || !d[key].IsString()) return std::string();
     return std::string(d[key].GetString(), d[key].GetStringLength());
@@ -77,7 +78,7 @@
   r.at = number("at");
   r.side = text("side") == "client" ? Record::Side::client : Record::Side::endpoint;
   r.place = text("place"), r.what = text("what"), r.message = text("message");
-  if (r.what.empty()) throw std::runtime_error("a record has no 'what'");
+  if (r.what.empty()) throw std::runtime_error("the record has no 'what'");
   r.connection = static_cast<std::uint64_t>(number("connection"));
   r.sent = flag("sent"), r.end = flag("end");
   r.stream = static_cast<std::uint32_t>(number("stream"));
@@ -131,7 +132,7 @@
   using T = http2::FrameType;
   switch (h.type) {
     case T::headers: {
-      payload = strip(h, payload);
+      payload = without_padding(h, payload);
       if (h.has(http2::flag::priority)) payload.remove_prefix(std::min<std::size_t>(5, payload.size()));
       d.block.assign(payload), d.block_stream = h.stream, d.block_end = h.has(http2::flag::end_stream);
       if (h.has(http2::flag::end_headers)) block_done(at, sent, d);
@@ -143,7 +144,8 @@
       return;
     case T::data: {
       auto& body = d.bodies[h.stream];
-      if (body.size() < kBodyKept) body.append(strip(h, payload).substr(0, kBodyKept - body.size()));
+      if (body.size() < kBodyPrefixBytes)
+        body.append(without_padding(h, payload).substr(0, kBodyPrefixBytes - body.size()));
       if (!h.has(http2::flag::end_stream)) return;
       Record r = fresh(at, sent, "DATA", h.stream);
       r.end = true, r.message = message_in(body);
@@ -164,7 +166,7 @@
       return sink_(std::move(r));
     }
     default:
-      return;  // windows, pings and settings say nothing of messages
+      return;  // window updates, pings and settings carry nothing about messages
   }
 }
 
--- a/src/record/tap.hpp
+++ b/src/record/tap.hpp
@@ -1,6 +1,6 @@
-// Frames as they pass a socket, for checking afterwards. A tap reads the raw bytes of each direction with a
-// parser and header tables of its own, so that what it tells does not rest on the word of either end's
-// engine.
+// Captures the frames that pass a socket, so that they can be checked afterwards. A wire capture decodes the
+// raw bytes of each direction with a parser and header tables of its own, so that its records do not depend
+// on the protocol implementation of either end.
 #pragma once
 
 #include <cstdint>
@@ -17,42 +17,48 @@
 
 using Time = std::int64_t;  // microseconds of the machine's monotonic clock
 
+// One captured frame, or the opening or closing of a connection.
 struct Record {
-  enum class Side { client, endpoint };  // at which end of a relay it was recorded
+  enum class Side { client, endpoint };  // on which side of a relay it was recorded
   Time at = 0;
   Side side = Side::client;
-  std::string place;  // the client's relay, or the endpoint's id
+  std::string place;  // the relay that the client is connected to, or the endpoint's id
   std::uint64_t connection = 0;
-  bool sent = false;  // by the recording side; else received
-  std::string what;   // a frame's type, or "OPEN", "CLOSE"
+  bool sent = false;  // sent by the recording side; otherwise received
+  std::string what;   // the frame's type, or "OPEN" or "CLOSE"
   std::uint32_t stream = 0;
   bool end = false;                           // END_STREAM
   std::uint32_t code = 0;                     // of RST_STREAM and GOAWAY
   std::uint32_t last = 0;                     // GOAWAY's last stream
   std::map<std::string, std::string> fields;  // the header fields of a field section
-  std::string message;                        // at the end of a request's body: the id that it names
+  std::string message;  // in the last DATA frame of a body: the message id found in the body
 };
 
 std::string to_json(const Record& r);
-// Throws std::runtime_error naming what is wrong.
+// Throws std::runtime_error that says what is wrong.
 Record from_json(std::string_view line);
 
-using Sink = std::function<void(Record&&)>;
+using Sink = std::function<void(Record&&)>;  // receives each record
 
-// "id=<name>;" at the start of a body is how load clients name their messages.
+// The message id in a body: load clients begin the body with "id=<name>;". Empty if there is none.
 std::string message_in(std::string_view body);
-// And "class=<name>;" after it what kind of message it is, as a partner would see from its content.
+// The message class in a body, written as "class=<name>;" after the id, where a partner would recognize the
+// kind of message from its content. Empty if there is none.
 std::string class_in(std::string_view body);
 
+// A capture of one connection. The subclasses decode its protocol.
 class Tap {
  public:
   Tap(Record::Side side, std::string place, std::uint64_t connection, Sink sink)
       : side_(side), place_(std::move(place)), connection_(connection), sink_(std::move(sink)) {}
   virtual ~Tap() = default;
+  // Takes the next bytes that were sent or received on the connection.
   virtual void pass(Time at, bool sent, std::string_view bytes) = 0;
-  virtual void note(Time at, const char* what);  // OPEN, CLOSE
+  // Records the opening ("OPEN") or closing ("CLOSE") of the connection.
+  virtual void note(Time at, const char* what);
 
  protected:
+  // A record with this connection's data filled in.
   Record fresh(Time at, bool sent, const char* what, std::uint32_t stream) const;
 
   Record::Side side_;
@@ -61,21 +67,23 @@
   Sink sink_;
 };
 
+// Captures HTTP/2 frames.
 class Http2Tap final : public Tap {
  public:
+  // `client_end`: whether the recording side is the HTTP/2 client, which sends the connection preface.
   Http2Tap(Record::Side side, std::string place, std::uint64_t connection, bool client_end, Sink sink);
   void pass(Time at, bool sent, std::string_view bytes) override;
 
  private:
   struct Direction {
-    std::string bytes;
-    bool preface;  // still to come
-    bool broken = false;
+    std::string bytes;    // received, but not decoded yet
+    bool preface;         // the connection preface is still expected
+    bool broken = false;  // undecodable from here on: nothing more is recorded
     http2::HpackDecoder decoder{65'536};
-    std::string block;
+    std::string block;  // field block of HEADERS and CONTINUATION frames
     std::uint32_t block_stream = 0;
-    bool block_end = false;
-    std::map<std::uint32_t, std::string> bodies;  // their first bytes
+    bool block_end = false;                       // END_STREAM of its HEADERS frame
+    std::map<std::uint32_t, std::string> bodies;  // first bytes of each stream's body
   };
   void frame(Time at, bool sent, Direction& d, const http2::FrameHeader& h, std::string_view payload);
   void block_done(Time at, bool sent, Direction& d);
--- a/src/trace/file.cpp
+++ b/src/trace/file.cpp
@@ -28,7 +28,8 @@
     throw std::runtime_error("trace: " + std::string(e.what()));
   }
   logger_->set_pattern("%v");
-  // Called by the writing thread; a full disk must not fill the relay's own log either.
+  // Called by the writer thread. Errors are counted here instead of logged, so that a full disk does not also
+  // flood the relay's own log.
   logger_->set_error_handler([errors = errors_](const std::string& what) {
     const std::lock_guard lock(errors->mutex);
     errors->count++, errors->last = what;
@@ -38,7 +39,7 @@
 File::~File() {
   logger_->flush();
   logger_.reset();
-  pool_.reset();  // writes what is queued, then ends its thread
+  pool_.reset();  // writes what is queued, then stops its thread
 }
 
 void File::write(const Story& story) {
--- a/src/trace/file.hpp
+++ b/src/trace/file.hpp
@@ -1,5 +1,6 @@
-// Stories to a file that is changed for a fresh one at a size, a few old ones kept. Written by a thread of
-// its own: a slow disk delays no delivery; what it can't keep up with is lost, oldest first, and counted.
+// Writes message traces to a file that is rotated at a size limit; a few rotated files are kept. A separate
+// thread writes, so that a slow disk does not delay deliveries. If it can't keep up, the oldest queued traces
+// are lost and counted.
 #pragma once
 
 #include <atomic>
@@ -18,23 +19,24 @@
 
 namespace cedarplank::trace {
 
+// A rotating trace file, one JSON object per line.
 class File {
  public:
   struct Options {
     std::string file;
-    std::size_t bytes = 64 * 1024 * 1024;  // of one file
-    std::size_t files = 4;                 // old ones kept: FILE.1 is the newest of them
-    std::size_t queue = 8192;              // stories that wait for the disk
-    bool wait = false;                     // for the disk, instead of losing stories
+    std::size_t bytes = 64 * 1024 * 1024;  // size limit of one file
+    std::size_t files = 4;                 // rotated files kept; FILE.1 is the newest
+    std::size_t queue = 8192;              // traces that may wait to be written
+    bool wait = false;  // whether write() blocks when the queue is full, instead of losing traces
   };
-  // Throws std::runtime_error naming the file where it can't be opened.
+  // Throws std::runtime_error naming the file if it can't be opened.
   explicit File(const Options& options);
-  ~File();  // waits until all is written
+  ~File();  // waits until everything queued is written
   void write(const Story& story);
-  // What was written so far goes to the disk soon.
+  // Asks the writer thread to flush the traces queued so far; does not wait for it.
   void flush();
-  std::uint64_t lost() const;    // for want of speed
-  std::uint64_t errors() const;  // writes that failed
+  std::uint64_t lost() const;    // traces overwritten in a full queue
+  std::uint64_t errors() const;  // failed writes
   std::string last_error() const;
 
  private:
--- a/src/trace/json.cpp
+++ b/src/trace/json.cpp
@@ -32,10 +32,12 @@
   w.EndObject();
 }
 
-// Microseconds since 1970 until the year 2112: sums of a few of them can't overflow.
-constexpr std::int64_t kMost = std::int64_t{1} << 52;
+// Largest number accepted: in microseconds since 1970 the year 2112. Sums of a few such values can't
+// overflow.
+constexpr std::int64_t kMaxNumber = std::int64_t{1} << 52;
 
-// Reads members of one object; a member of the wrong type is an error, a missing one its default.
+// Reads the members of one JSON object. A member of the wrong type is an error; a missing one has its
+// default.
 class Members {
  public:
   Members(const rapidjson::Value& v, const char* of) : v_(v), of_(of) {
@@ -47,11 +49,11 @@
     if (!v->IsString()) fail(key, "a text");
     return {v->GetString(), v->GetStringLength()};
   }
-  std::int64_t number(const char* key, std::int64_t least = 0, std::int64_t otherwise = 0,
-                      std::int64_t most = kMost) const {
+  std::int64_t number(const char* key, std::int64_t min = 0, std::int64_t fallback = 0,
+                      std::int64_t max = kMaxNumber) const {
     const auto* v = find(key);
-    if (v == nullptr) return otherwise;
-    if (!v->IsInt64() || v->GetInt64() < least || v->GetInt64() > most) fail(key, "a whole number in range");
+    if (v == nullptr) return fallback;
+    if (!v->IsInt64() || v->GetInt64() < min || v->GetInt64() > max) fail(key, "a whole number in range");
     return v->GetInt64();
   }
   bool flag(const char* key) const {
@@ -73,9 +75,10 @@
   const char* of_;
 };
 
+// The enumerator whose name_of() is `name`. `of` describes the member in the error message.
 template <typename E>
-E named(const std::string& name, int most, const char* of) {
-  for (int i = 0; i < most; i++)
+E enumerator_of(const std::string& name, int count, const char* of) {
+  for (int i = 0; i < count; i++)
     if (name == name_of(static_cast<E>(i))) return static_cast<E>(i);
   throw std::runtime_error(std::string(of) + ": '" + name + "' is not known");
 }
@@ -84,7 +87,8 @@
   const Members m(v, "a step");
   Step s;
   s.at = from + m.number("at");
-  s.what = named<Step::What>(m.text("what"), static_cast<int>(Step::What::withdrawn) + 1, "a step's 'what'");
+  s.what = enumerator_of<Step::What>(m.text("what"), static_cast<int>(Step::What::withdrawn) + 1,
+                                     "a step's 'what'");
   s.attempt = static_cast<int>(m.number("attempt", -1, -1, 1'000'000));
   s.round = static_cast<std::uint64_t>(m.number("round"));
   s.connection = static_cast<std::uint64_t>(m.number("connection"));
@@ -121,16 +125,16 @@
 
 Story from_json(std::string_view line) {
   rapidjson::Document d;
-  // Without recursion: a line of a million brackets must not exhaust the stack.
+  // Parsed iteratively: a line of a million brackets must not exhaust the stack.
   d.Parse<rapidjson::kParseIterativeFlag>(line.data(), line.size());
   if (d.HasParseError()) throw std::runtime_error("this is no JSON");
   const Members m(d, "a story");
   Story s;
   s.message = m.text("message"), s.key = m.text("key"), s.destination = m.text("destination");
   s.message_class = m.text("class"), s.tenant = m.text("tenant");
-  s.verdict = named<Verdict>(m.text("verdict"), kVerdicts, "a story's 'verdict'");
+  s.verdict = enumerator_of<Verdict>(m.text("verdict"), kVerdicts, "a story's 'verdict'");
   s.wall = m.number("wall");
-  s.taken = s.wall;  // the clock of another process means nothing here
+  s.taken = s.wall;  // the writer's monotonic clock has no meaning in this process
   s.over_at = s.taken + m.number("took");
   s.aim = s.taken + m.number("aim");
   s.deadline = m.find("deadline") == nullptr ? 0 : s.taken + m.number("deadline");
--- a/src/trace/json.hpp
+++ b/src/trace/json.hpp
@@ -1,4 +1,5 @@
-// Stories as lines of JSON: one object a line, steps relative to the moment the message was taken.
+// Message traces as lines of JSON: one object per line, with times relative to the moment at which the
+// message was accepted.
 #pragma once
 
 #include <string>
@@ -9,7 +10,7 @@
 namespace cedarplank::trace {
 
 std::string to_json(const Story& story);
-// Throws std::runtime_error naming what is wrong. Unknown members are passed over, so that older programs
+// Throws std::runtime_error that says what is wrong. Unknown members are ignored, so that older programs can
 // read what newer ones write.
 Story from_json(std::string_view line);
 
--- a/src/trace/recorder.cpp
+++ b/src/trace/recorder.cpp
@@ -6,9 +6,9 @@
 namespace cedarplank::trace {
 namespace {
 
-constexpr Time kSecond = 1'000'000;
-constexpr Time kSeenOfLate = 60 * kSecond;  // kinds not seen for so long give their part up
-constexpr std::size_t kText = 200;          // bytes kept of a text that a peer may have made up
+constexpr Time kSecond = 1'000'000;           // microseconds
+constexpr Time kKindLifetime = 60 * kSecond;  // a kind not seen for longer loses its share of the rate
+constexpr std::size_t kMaxTextBytes = 200;    // bytes kept of a text that a peer may have supplied
 
 }  // namespace
 
@@ -22,8 +22,8 @@
 
 bool Budget::spend(Time now, const Kind& kind) {
   if (rate_ <= 0) return false;
-  const auto [it, fresh] = kinds_.try_emplace(kind, Bucket{1, now});
-  std::erase_if(kinds_, [&](const auto& k) { return k.first != kind && now - k.second.at > kSeenOfLate; });
+  const auto [it, inserted] = kinds_.try_emplace(kind, Bucket{1, now});
+  std::erase_if(kinds_, [&](const auto& k) { return k.first != kind && now - k.second.at > kKindLifetime; });
   return take(it->second, now, rate_ / 2 / static_cast<double>(kinds_.size())) ||
          take(shared_, now, rate_ / 2);
 }
@@ -36,7 +36,7 @@
   budget_.set(settings_.per_second);
 }
 
-// What a step takes, its texts included; a story's vector may have room for as many again.
+// The memory that a step takes, its texts included. The vector of steps may have capacity for as many again.
 std::size_t Recorder::size_of(const Step& s) { return sizeof(Step) + s.endpoint.size() + s.text.size(); }
 
 Story Recorder::make(Time now, MessageId id, Head&& head) {
@@ -57,7 +57,7 @@
   const Story& s = live.story;
   live.bytes = sizeof(Live) + s.key.size() + s.destination.size() + s.message_class.size() + s.tenant.size() +
                size_of(s.steps[0]);
-  // Short of memory a new one has no claim on others that are no worse than it is.
+  // When memory is short a new trace does not displace others: nothing has gone wrong in it so far either.
   if (bytes_ + live.bytes > settings_.bytes_max) {
     counts_.shed++;
     return;
@@ -67,8 +67,8 @@
   plain_.insert(id);
 }
 
-// Short of memory, the newest story in which nothing went wrong so far goes first: it is the least likely to
-// be kept, where the older ones may be on their way to be late.
+// When memory is short, the newest trace in which nothing has gone wrong is discarded first: it is the least
+// likely to be kept in the end, whereas older ones may be about to become late.
 bool Recorder::make_room(std::size_t bytes, MessageId keep) {
   while (bytes_ + bytes > settings_.bytes_max) {
     const auto newest =
@@ -87,13 +87,14 @@
 }
 
 void Recorder::add(Live& live, Step&& step) {
-  if (step.text.size() > kText) step.text.resize(kText);
+  if (step.text.size() > kMaxTextBytes) step.text.resize(kMaxTextBytes);
   auto& steps = live.story.steps;
-  step.at = std::max(step.at, steps.back().at);  // a host's clock may stand a little behind in between
-  // Full, for one reason or the other: the first half tells how it began, the last how it ended.
-  const auto most = static_cast<std::size_t>(std::max(2, settings_.steps_max));
+  step.at = std::max(step.at, steps.back().at);  // the host's clock may be slightly behind in between
+  // At the limit of steps or of memory, steps in the middle are left out: the first ones show how the message
+  // began and the last ones how it ended.
+  const auto max_steps = static_cast<std::size_t>(std::max(2, settings_.steps_max));
   const std::size_t bytes = size_of(step);
-  while (steps.size() > 1 && (steps.size() >= most || !make_room(bytes, live.story.id))) {
+  while (steps.size() > 1 && (steps.size() >= max_steps || !make_room(bytes, live.story.id))) {
     const auto middle = steps.begin() + static_cast<std::ptrdiff_t>((steps.size() + 1) / 2);
     bytes_ -= size_of(*middle), live.bytes -= size_of(*middle);
     steps.erase(middle);
@@ -115,8 +116,8 @@
 void Recorder::step(MessageId id, Step step) {
   const auto it = stories_.find(id);
   if (it == stories_.end()) return;
-  const bool trouble = step.what == Step::What::send && step.attempt > 0;
-  if (trouble || step.what == Step::What::fail || step.what == Step::What::refuse) not_plain(id, it->second);
+  const bool is_retry = step.what == Step::What::send && step.attempt > 0;
+  if (is_retry || step.what == Step::What::fail || step.what == Step::What::refuse) not_plain(id, it->second);
   add(it->second, std::move(step));
 }
 
@@ -125,9 +126,10 @@
   if (it == stories_.end()) return;
   Story& s = it->second.story;
   s.over_at = step.at;
-  const bool again = std::any_of(s.steps.begin(), s.steps.end(), [](const Step& x) { return x.attempt > 0; });
+  const bool retried =
+      std::any_of(s.steps.begin(), s.steps.end(), [](const Step& x) { return x.attempt > 0; });
   if (verdict == Verdict::served && step.at > s.aim) verdict = Verdict::late;
-  if (verdict == Verdict::served && again) verdict = Verdict::retried;
+  if (verdict == Verdict::served && retried) verdict = Verdict::retried;
   s.verdict = verdict;
   if (verdict != Verdict::served) not_plain(id, it->second);
   add(it->second, std::move(step));
@@ -152,8 +154,8 @@
 }
 
 void Recorder::judge(Time now, Story&& s) {
-  // By the message's number and the seed alone, so that the same run keeps the same ones.
-  const auto drawn = [&] {
+  // Depends only on the message's number and the seed, so that a repeated run keeps the same traces.
+  const auto sampled = [&] {
     return settings_.sample > 0 && pcg32(seed_, s.id)(static_cast<std::uint32_t>(settings_.sample)) == 0;
   };
   const bool notable = s.verdict != Verdict::served;
@@ -161,7 +163,7 @@
   const Budget::Kind kind = {s.message_class, static_cast<int>(s.verdict) + (s.watched ? kVerdicts : 0)};
   auto& unkept = unkept_[kind];
   unkept++;
-  if (!notable && !s.watched && !drawn()) return;
+  if (!notable && !s.watched && !sampled()) return;
   if (!budget_.spend(now, kind)) {
     counts_.dropped++;
     return;
--- a/src/trace/recorder.hpp
+++ b/src/trace/recorder.hpp
@@ -1,9 +1,9 @@
-// Which messages' stories are recorded and kept, within bounds of memory and of lines a second. Free of I/O
-// and clock. docs/design/trace.md weighs the options.
+// Records message traces and decides which to keep, within limits of memory and of traces per second. Uses no
+// I/O and reads no clock.
 //
-// Every message's steps are recorded while it is held; what is worth keeping is decided at its end, when that
-// can be told. Nothing that a relay delivers depends on it: where memory or the budget runs short, stories
-// are lost, and counted.
+// The steps of every message are recorded while the relay holds it. Whether its trace is worth keeping is
+// decided at its end, when that is known. No delivery depends on tracing: if memory or the rate limit runs
+// short, traces are lost and counted.
 #pragma once
 
 #include <cstdint>
@@ -18,67 +18,70 @@
 namespace cedarplank::trace {
 
 struct Settings {
-  std::size_t bytes_max = 16 * 1024 * 1024;  // of stories that are still open
-  int steps_max = 32;                        // of one story; beyond it steps in the middle are left out
-  int sample = 100;         // one in so many of the messages that went as they should is kept; 0: none
-  double per_second = 200;  // stories kept, of all kinds together
-  std::set<std::string> watch = {};  // destinations whose messages are all worth keeping
+  std::size_t bytes_max = 16 * 1024 * 1024;  // of traces that are still open
+  int steps_max = 32;                        // of one trace; beyond it steps in the middle are left out
+  int sample = 100;                          // of messages that went well one in this many is kept; 0: none
+  double per_second = 200;                   // traces kept per second, of all kinds together
+  std::set<std::string> watch =
+      {};  // destinations whose messages are all worth keeping, whatever their outcome
 };
 
-// Stories a second, shared so that no kind of trouble crowds out the others: half of the rate is split evenly
-// over the kinds seen of late, the other half goes to who comes first.
+// A rate limit on kept traces, shared so that no kind of trouble crowds out the others: half of the rate is
+// split evenly between the recently seen kinds, the other half is first come, first served.
 class Budget {
  public:
-  using Kind = std::pair<std::string, int>;
+  using Kind = std::pair<std::string, int>;  // message class, and a number for verdict and watched or not
   explicit Budget(double per_second) : rate_(per_second), shared_{burst(rate_ / 2), 0} {}
-  bool spend(Time now, const Kind& kind);
+  bool spend(Time now, const Kind& kind);  // whether a trace of this kind may be kept now
   void set(double per_second) { rate_ = per_second; }
 
  private:
-  struct Bucket {
+  struct Bucket {  // a token bucket
     double tokens = 0;
     Time at = 0;
   };
-  static double burst(double rate) { return std::max(1.0, rate); }  // one second's worth
+  static double burst(double rate) { return std::max(1.0, rate); }  // tokens of one second, at least 1
   static bool take(Bucket& b, Time now, double rate);
   double rate_;
   Bucket shared_;
   std::map<Kind, Bucket> kinds_;
 };
 
-// What is known of a message when it comes.
+// What is known about a message when it arrives.
 struct Head {
   std::string key, destination, message_class, tenant;
   std::uint64_t connection = 0;
   std::uint32_t stream = 0;
-  Time aim = 0, deadline = 0;  // moments
+  Time aim = 0, deadline = 0;  // points in time
 };
 
+// Collects the steps of messages and passes finished traces that are worth keeping to a sink.
 class Recorder {
  public:
   using Sink = std::function<void(Story&&)>;
   Recorder(Settings settings, std::uint64_t seed, Sink sink);
 
+  // A message was accepted.
   void begin(Time now, MessageId id, Head head);
-  // One that the door turned away has no more than this step.
+  // A message was rejected at admission: its trace has only that step and is ended at once.
   void turned_away(Time now, MessageId id, Head head, const char* why);
-  // Ignored where the message's story is not recorded; told late steps too, after the answer.
+  // Adds a step; ignored if the message has no open trace. Steps may still come after the final answer.
   void step(MessageId id, Step step);
-  // The final answer is given; `step` tells it. Or the client withdrew.
+  // The final answer has been given, or the client has cancelled the message; `step` describes it.
   void over(MessageId id, Verdict verdict, Step step);
-  // No attempt is left: the story is kept or forgotten.
+  // No attempt is under way any more: the trace is kept or discarded.
   void close(Time now, MessageId id);
   void set(Settings settings);
 
   struct Counts {
     std::uint64_t begun = 0;    // messages seen
-    std::uint64_t shed = 0;     // stories given up for want of memory
+    std::uint64_t shed = 0;     // traces discarded for lack of memory
     std::uint64_t kept = 0;     // handed to the sink
-    std::uint64_t dropped = 0;  // worth keeping, but over the budget
+    std::uint64_t dropped = 0;  // worth keeping, but over the rate limit
   };
   const Counts& counts() const { return counts_; }
-  std::size_t bytes() const { return bytes_; }
-  std::size_t open() const { return stories_.size(); }
+  std::size_t bytes() const { return bytes_; }          // memory of the open traces
+  std::size_t open() const { return stories_.size(); }  // number of open traces
 
  private:
   struct Live {
@@ -86,13 +89,14 @@
     std::size_t bytes = 0;
     bool plain = true;  // nothing has gone wrong so far
   };
-  using Stories = std::unordered_map<MessageId, Live>;  // looked up only, never walked
+  using Stories = std::unordered_map<MessageId, Live>;  // only looked up, never iterated
   static std::size_t size_of(const Step& s);
   static Story make(Time now, MessageId id, Head&& head);
+  // Discards traces, but not that of `keep`, until `bytes` more fit. False if that is not possible.
   bool make_room(std::size_t bytes, MessageId keep);
   void add(Live& live, Step&& step);
   void drop(Stories::iterator it);
-  void judge(Time now, Story&& story);
+  void judge(Time now, Story&& story);  // passes the trace to the sink if it is worth keeping
   void not_plain(MessageId id, Live& live);
 
   Settings settings_;
@@ -100,8 +104,8 @@
   Sink sink_;
   Budget budget_;
   Stories stories_;
-  std::set<MessageId> plain_;  // of the open ones
-  std::map<Budget::Kind, std::uint64_t> unkept_;
+  std::set<MessageId> plain_;                     // open traces in which nothing has gone wrong
+  std::map<Budget::Kind, std::uint64_t> unkept_;  // messages since the last trace that was kept
   std::size_t bytes_ = 0;
   Counts counts_;
 };
--- a/src/trace/report.cpp
+++ b/src/trace/report.cpp
@@ -14,16 +14,17 @@
 namespace cedarplank::trace {
 namespace {
 
-std::string span(Time t) {
+std::string format_time(Time t) {
   if (t < 10'000) return fmt::format("{:.3g} ms", static_cast<double>(t) / 1e3);
   if (t < 1'000'000) return fmt::format("{} ms", t / 1000);
   return fmt::format("{:.2f} s", static_cast<double>(t) / 1e6);
 }
 
-std::string tell(const Step& s) {
+// One line about a step, whose time is relative to the beginning of its trace.
+std::string describe_step(const Step& s) {
   using What = Step::What;
   std::string line;
-  const auto because = [&] {
+  const auto add_reason = [&] {
     if (const auto why = s.reason(); !why.empty()) line += ": " + why;
   };
   switch (s.what) {
@@ -33,35 +34,35 @@
       break;
     case What::send:
       line = fmt::format("round {}: attempt {} to {}, for {} at most", s.round, s.attempt + 1, s.endpoint,
-                         span(s.span));
-      because();
+                         format_time(s.span));
+      add_reason();
       break;
     case What::carried:
       line = fmt::format("attempt {} left on connection {} stream {}", s.attempt + 1, s.connection, s.stream);
       break;
     case What::ended:
-      line = fmt::format("attempt {} at {} over after {}", s.attempt + 1, s.endpoint, span(s.span));
-      because();
-      if (s.told_wait > 0) line += ", told to wait " + span(s.told_wait);
+      line = fmt::format("attempt {} at {} over after {}", s.attempt + 1, s.endpoint, format_time(s.span));
+      add_reason();
+      if (s.told_wait > 0) line += ", told to wait " + format_time(s.told_wait);
       break;
     case What::refuse:
       line = fmt::format("round {}: handed back", s.round);
-      because();
+      add_reason();
       break;
     case What::fail:
       line = fmt::format("round {}: given up", s.round);
-      because();
+      add_reason();
       break;
     case What::answered:
       line = "answered";
-      because();
-      if (s.span > 0) line += ", to come back in " + span(s.span);
+      add_reason();
+      if (s.span > 0) line += ", to come back in " + format_time(s.span);
       break;
     case What::withdrawn:
       line = "the client gave it up";
       break;
   }
-  return fmt::format("  {:>10}  {}\n", "+" + span(s.at), line);
+  return fmt::format("  {:>10}  {}\n", "+" + format_time(s.at), line);
 }
 
 }  // namespace
@@ -73,14 +74,14 @@
     if (!in) throw std::runtime_error(file + ": " + std::strerror(errno));
     std::string line;
     for (std::size_t number = 1; std::getline(in, line); number++) {
-      const bool whole = !in.eof();  // else its end of line has not been written
+      const bool complete = !in.eof();  // else its line end has not been written
       if (line.empty()) continue;
       try {
         Story s = from_json(line);
         read.stories++;
         f(std::move(s));
       } catch (const std::runtime_error& e) {
-        if (!whole) {
+        if (!complete) {
           read.torn++;
           continue;
         }
@@ -108,18 +109,20 @@
   if (!s.key.empty()) out += ", client's key " + s.key;
   out += '\n';
   if (s.deadline > 0)
-    out += fmt::format("  aim {}, deadline {}\n", span(s.aim - s.taken), span(s.deadline - s.taken));
+    out += fmt::format("  aim {}, deadline {}\n", format_time(s.aim - s.taken),
+                       format_time(s.deadline - s.taken));
   const std::size_t first = s.elided == 0 ? s.steps.size() : (s.steps.size() + 1) / 2;
   for (std::size_t i = 0; i < s.steps.size(); i++) {
     if (i == first) out += fmt::format("              ({} steps are left out)\n", s.elided);
     Step step = s.steps[i];
     step.at -= s.taken;
-    out += tell(step);
+    out += describe_step(step);
   }
   const Parts p = parts_of(s);
   out += fmt::format("  {} after {}: {} held, {} waiting for a connection, {} at endpoints{}\n",
-                     name_of(s.verdict), span(s.over_at - s.taken), span(p.held), span(p.connection),
-                     span(p.endpoint), p.rough ? " (roughly: steps are left out)" : "");
+                     name_of(s.verdict), format_time(s.over_at - s.taken), format_time(p.held),
+                     format_time(p.connection), format_time(p.endpoint),
+                     p.rough ? " (roughly: steps are left out)" : "");
   return out;
 }
 
@@ -129,18 +132,21 @@
   const auto weight = static_cast<double>(s.stands_for);
   row.stories++, row.messages += s.stands_for;
   for (const auto& step : s.steps) row.attempts += step.what == Step::What::send;
-  const auto put = [&](std::vector<Weighted>& to, Time t) { to.push_back({static_cast<double>(t), weight}); };
-  put(row.whole, s.over_at - s.taken), put(row.added, p.held + p.connection), put(row.held, p.held);
-  put(row.connection, p.connection), put(row.endpoint, p.endpoint);
+  const auto add_value = [&](std::vector<Weighted>& to, Time t) {
+    to.push_back({static_cast<double>(t), weight});
+  };
+  add_value(row.whole, s.over_at - s.taken), add_value(row.added, p.held + p.connection),
+      add_value(row.held, p.held);
+  add_value(row.connection, p.connection), add_value(row.endpoint, p.endpoint);
 }
 
 double Account::quantile(std::vector<Weighted> values, double q) {
   std::sort(values.begin(), values.end(),
             [](const Weighted& a, const Weighted& b) { return a.value < b.value; });
-  double all = 0, seen = 0;
-  for (const auto& v : values) all += v.weight;
+  double total = 0, seen = 0;
+  for (const auto& v : values) total += v.weight;
   for (const auto& v : values)
-    if ((seen += v.weight) >= q * all) return v.value;
+    if ((seen += v.weight) >= q * total) return v.value;
   return 0;
 }
 
@@ -149,13 +155,15 @@
                                 "class", "verdict", "messages", "stories", "attempts", "time p50/p99",
                                 "added p50/p99", "held p50/p99", "connection p50/p99", "endpoint p50/p99");
   for (const auto& [key, row] : rows_) {
-    const auto both = [&](const std::vector<Weighted>& v) {
-      return span(static_cast<Time>(quantile(v, 0.5))) + " / " + span(static_cast<Time>(quantile(v, 0.99)));
+    const auto median_and_p99 = [&](const std::vector<Weighted>& v) {
+      return format_time(static_cast<Time>(quantile(v, 0.5))) + " / " +
+             format_time(static_cast<Time>(quantile(v, 0.99)));
     };
     out += fmt::format("{:<14} {:<12} {:>9} {:>8} {:>9.2f} {:>19} {:>19} {:>19} {:>19} {:>19}\n", key.first,
                        name_of(key.second), row.messages, row.stories,
-                       static_cast<double>(row.attempts) / static_cast<double>(row.stories), both(row.whole),
-                       both(row.added), both(row.held), both(row.connection), both(row.endpoint));
+                       static_cast<double>(row.attempts) / static_cast<double>(row.stories),
+                       median_and_p99(row.whole), median_and_p99(row.added), median_and_p99(row.held),
+                       median_and_p99(row.connection), median_and_p99(row.endpoint));
   }
   return out;
 }
--- a/src/trace/report.hpp
+++ b/src/trace/report.hpp
@@ -1,4 +1,5 @@
-// Reading stories again: one message's tries over all relays, and where the time of many went.
+// Reads message traces back: shows one message's attempts across relays, and summarizes where the time of
+// many messages went.
 #pragma once
 
 #include <functional>
@@ -12,29 +13,29 @@
 
 struct Read {
   std::size_t stories = 0;
-  std::size_t torn = 0;  // last lines that a relay had not finished
+  std::size_t torn = 0;  // incomplete last lines, which a relay had not finished writing
 };
-// Hands each story of the files to `f`. Throws std::runtime_error naming file and line.
+// Passes each trace of the files to `f`. Throws std::runtime_error naming file and line.
 Read read_stories(const std::vector<std::string>& files, const std::function<void(Story&&)>& f);
 
-// Whether `name` is the relay's or the client's name of the message.
+// Whether `name` is the message's id at the relay or the client's idempotency key.
 bool is_named(const Story& s, const std::string& name);
-// In the order of their beginning, which on relays of one host is that of one clock.
+// Sorts by the time at which the messages were accepted. Relays on one host share the clock of these times.
 void sort_by_time(std::vector<Story>& stories);
 
-// A story for people, a line a step.
+// A trace as text for people, a line for each step.
 std::string tell(const Story& s);
 
-// Of many stories, by class and verdict: how many messages they stand for and where their time went.
+// Summarizes traces by class and verdict: how many messages they stand for and where their time went.
 class Account {
  public:
   void add(const Story& s);
-  // A table with the middle and the 99th hundredth of each part.
+  // A table with the median and the 99th percentile of each part of the time.
   std::string table() const;
 
  private:
   struct Weighted {
-    double value, weight;
+    double value, weight;  // weight: the number of messages that the trace stands for
   };
   struct Row {
     std::uint64_t stories = 0, messages = 0, attempts = 0;
--- a/src/trace/story.cpp
+++ b/src/trace/story.cpp
@@ -19,9 +19,9 @@
 Parts parts_of(const Story& story) {
   Parts parts;
   parts.rough = story.elided > 0;
-  std::map<int, bool> under_way;  // attempt, and whether it has left
+  std::map<int, bool> under_way;  // by attempt: whether it has been sent on a connection
   Time last = story.taken;
-  const auto pass = [&](Time until) {
+  const auto add_time = [&](Time until) {
     bool waiting = false, out = false;
     for (const auto& [attempt, left] : under_way) (left ? out : waiting) = true;
     (out ? parts.endpoint : waiting ? parts.connection : parts.held) += until - last;
@@ -29,7 +29,7 @@
   };
   for (const auto& s : story.steps) {
     if (s.at > story.over_at) break;
-    pass(s.at);
+    add_time(s.at);
     if (s.what == Step::What::send)
       under_way[s.attempt] = false;
     else if (s.what == Step::What::carried)
@@ -37,7 +37,7 @@
     else if (s.what == Step::What::ended)
       under_way.erase(s.attempt);
   }
-  pass(std::max(last, story.over_at));
+  add_time(std::max(last, story.over_at));
   return parts;
 }
 
--- a/src/trace/story.hpp
+++ b/src/trace/story.hpp
@@ -1,6 +1,6 @@
-// One message's way through a relay, step by step: what `cedarplank trace` tells.
+// The trace of one message: each step of its delivery by a relay. `cedarplank trace` shows them.
 //
-// All times are in microseconds of one monotonic clock that the host passes in.
+// All times are in microseconds of one monotonic clock that the caller passes in.
 #pragma once
 
 #include <cstdint>
@@ -12,58 +12,62 @@
 using Time = std::int64_t;
 using MessageId = std::uint64_t;
 
+// One event in the delivery of a message.
 struct Step {
   enum class What : std::uint8_t {
-    taken,      // from the client's stream, or a host of the library (connection 0)
-    send,       // the module's decision of a round: an attempt, its endpoint and time-out
-    carried,    // the attempt left on a stream of a connection
-    ended,      // the attempt is over: how
-    refuse,     // the module's last decision: handed back
-    fail,       // or given up
-    answered,   // the final answer to the client
-    withdrawn,  // the client gave it up
+    taken,      // accepted from a client's stream, or from the host program of the library (connection 0)
+    send,       // the dispatcher decided on an attempt in a round: its endpoint and time-out
+    carried,    // the attempt was sent on a stream of a connection
+    ended,      // the attempt ended, with its outcome
+    refuse,     // the dispatcher's last decision: refuse the message
+    fail,       // the dispatcher's last decision: give the message up
+    answered,   // the final answer was given to the client
+    withdrawn,  // the client cancelled the message
   };
   Time at = 0;
   What what = What::taken;
   int attempt = -1;              // -1: none
-  std::uint64_t round = 0;       // of the relay's decisions; 0: none
-  std::uint64_t connection = 0;  // the client's, or to the endpoint
+  std::uint64_t round = 0;       // of the dispatcher's decisions; 0: none
+  std::uint64_t connection = 0;  // from the client, or to the endpoint
   std::uint32_t stream = 0;
-  Time span = 0;         // send: time-out; ended: since it was sent; refuse, answered: time to come back
+  Time span =
+      0;  // send: time-out; ended: time since it was sent; refuse, answered: when the client may retry
   Time told_wait = 0;    // ended: the wait that the endpoint asked for
   std::string endpoint;  // send, ended
-  std::string text;      // the reason, or how an attempt ended, as far as it is made up while running
-  const char* why = "";  // or as a text that lives as long as the program
+  std::string text;      // the reason, or an attempt's outcome, where it is composed at run time
+  const char* why = "";  // the same where it is a string literal; used if `text` is empty
   std::string reason() const { return text.empty() ? why : text; }
 };
 const char* name_of(Step::What what);
 
-// Why a story was worth keeping, worst first.
+// The outcome of a message, which decides whether its trace is worth keeping; worst first.
 enum class Verdict : std::uint8_t { failed, refused, turned_away, withdrawn, late, retried, served };
 constexpr int kVerdicts = 7;
 const char* name_of(Verdict v);
 
+// The trace of one message.
 struct Story {
   MessageId id = 0;
-  std::string message;                             // the relay's name of it
-  std::string key;                                 // the client's: its Idempotency-Key, if any
-  std::string destination, message_class, tenant;  // names; the tenant's is empty where there is none
-  Time taken = 0, aim = 0, deadline = 0;           // moments; a deadline of 0: it was turned away
+  std::string message;                             // its id at the relay
+  std::string key;                                 // the client's Idempotency-Key, if any
+  std::string destination, message_class, tenant;  // names; `tenant` is empty if there is none
+  Time taken = 0, aim = 0, deadline = 0;           // points in time; a deadline of 0: rejected at admission
   Time over_at = 0;
-  std::int64_t wall = 0;  // microseconds since 1970 of `taken`, as the relay's host knew it
+  std::int64_t wall = 0;  // `taken` in microseconds since 1970 by the clock of the relay's host
   Verdict verdict = Verdict::served;
-  bool watched = false;          // kept because its destination is watched
-  std::uint64_t stands_for = 1;  // messages of its class and verdict since the last one kept, itself included
-  std::uint32_t elided = 0;      // steps left out in the middle
+  bool watched = false;  // kept because its destination is watched
+  std::uint64_t stands_for =
+      1;                     // messages of its class and verdict since the last kept trace, itself included
+  std::uint32_t elided = 0;  // steps left out in the middle
   std::vector<Step> steps;
 };
 
-// Where a message's time until its final answer went. The sum is that time.
+// How the time until a message's final answer was spent. The parts add up to that time.
 struct Parts {
-  Time held = 0;        // in the relay, with no attempt under way
-  Time connection = 0;  // an attempt was decided and waited for a connection
-  Time endpoint = 0;    // at least one attempt was on the wire
-  bool rough = false;   // steps were left out
+  Time held = 0;        // in the relay with no attempt under way
+  Time connection = 0;  // attempts were decided on, but all of them waited for a connection
+  Time endpoint = 0;    // at least one attempt had been sent
+  bool rough = false;   // some steps were left out, so the parts are approximate
 };
 Parts parts_of(const Story& story);
 
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -1,4 +1,4 @@
-// The loop, its timers and sockets.
+// Event loop, timers and sockets.
 #include "loop/loop.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 namespace cedarplank::loop {
 namespace {
 
-// Both structures against a plain multimap, through random adds, cancels and moves of the clock.
+// Compares a timer structure with a plain multimap over random additions, cancellations and clock steps.
 template <class Timers>
 void against_model(Time late) {
   std::mt19937_64 random(7);
@@ -53,7 +53,7 @@
       Callback callback;
       while (timers.pop_due(now, callback)) callback();
       for (const int n : fired) {
-        EXPECT_LE(live.at(n).second, now) << "fired early";
+        EXPECT_LE(live.at(n).second, now) << "fired before its deadline";
         auto [a, b] = model.equal_range(live.at(n).second);
         for (; a != b; ++a)
           if (a->second == n) {
@@ -63,7 +63,7 @@
         live.erase(n);
       }
       if (!model.empty()) {
-        EXPECT_GT(model.begin()->first + late, now) << "missed";
+        EXPECT_GT(model.begin()->first + late, now) << "a due timer did not fire";
       }
     }
     ASSERT_EQ(timers.size(), live.size());
@@ -165,8 +165,8 @@
   EXPECT_EQ(client.flushed(), client.queued());
 }
 
-// poll(2) tells of a peer that has gone whatever is asked for: a stream that isn't read hears of it, else the
-// loop would spin until it is read again.
+// poll(2) reports that a peer has gone whatever events are requested. A stream that is not being read must
+// handle it, otherwise the loop would spin until reading resumes.
 TEST(Net, APausedStreamHearsThatItsPeerHasGone) {
   loop::Loop loop;
   std::unique_ptr<net::TcpStream> server;
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -1,5 +1,5 @@
-// Stories of messages: what is kept under which bounds, how it is written and read, and that it tells what
-// passed at the sockets.
+// Message traces: which are kept within which limits, how they are written and read, and that they agree with
+// what passed on the sockets.
 #include <random>
 
 #include "service.hpp"
@@ -26,7 +26,8 @@
   s.at = at, s.what = what, s.attempt = attempt;
   return s;
 }
-struct Kept {
+// Collects the traces that a recorder keeps.
+struct KeptTraces {
   std::vector<Story> all;
   Recorder::Sink sink() {
     return [this](Story&& s) { all.push_back(std::move(s)); };
@@ -36,7 +37,8 @@
         all.begin(), all.end(), [&](const Story& s) { return s.verdict == v && s.message_class == cls; }));
   }
 };
-void whole(Recorder& r, Time at, trace::MessageId id, Verdict v, trace::Head h = head()) {
+// Records a message from its acceptance to its end.
+void record_message(Recorder& r, Time at, trace::MessageId id, Verdict v, trace::Head h = head()) {
   r.begin(at, id, std::move(h));
   r.step(id, step(at, What::send, 0));
   r.over(id, v, step(at, What::answered));
@@ -44,32 +46,32 @@
 }
 
 TEST(Recorder, KeepsAllTroubleAndASampleThatStandsForTheRest) {
-  Kept kept;
+  KeptTraces kept;
   Recorder r({.sample = 50, .per_second = 1e9}, 7, kept.sink());
   for (trace::MessageId id = 1; id <= 100'000; id++)
-    whole(r, static_cast<Time>(id) * 100, id, id % 1'000 == 0 ? Verdict::failed : Verdict::served);
+    record_message(r, static_cast<Time>(id) * 100, id, id % 1'000 == 0 ? Verdict::failed : Verdict::served);
   EXPECT_EQ(kept.of(Verdict::failed), 100u);
   EXPECT_NEAR(static_cast<double>(kept.of(Verdict::served)), 99'900 / 50.0, 200);
-  std::uint64_t stands = 0;
-  for (const auto& s : kept.all) stands += s.stands_for;
-  EXPECT_GT(stands, 99'000u);  // all but those since the last one kept
-  EXPECT_LE(stands, 100'000u);
+  std::uint64_t represented = 0;
+  for (const auto& s : kept.all) represented += s.stands_for;
+  EXPECT_GT(represented, 99'000u);  // all but those since the last one kept
+  EXPECT_LE(represented, 100'000u);
   EXPECT_EQ(r.open(), 0u);
   EXPECT_EQ(r.bytes(), 0u);
 }
 
 TEST(Recorder, ALateServeARetryAndAWatchedDestinationAreWorthKeeping) {
-  Kept kept;
+  KeptTraces kept;
   Recorder r({.sample = 0, .per_second = 1e9, .watch = {"w"}}, 7, kept.sink());
-  whole(r, 0, 1, Verdict::served);
-  whole(r, 0, 2, Verdict::served, head("status", "w"));
+  record_message(r, 0, 1, Verdict::served);
+  record_message(r, 0, 2, Verdict::served, head("status", "w"));
   r.begin(0, 3, head());
   r.over(3, Verdict::served, step(1'001 * kS, What::answered));
   r.close(0, 3);
   r.begin(0, 4, head());
   r.step(4, step(1, What::send, 0)), r.step(4, step(2, What::ended, 0)), r.step(4, step(3, What::send, 1));
   r.over(4, Verdict::served, step(5, What::answered));
-  r.step(4, step(9, What::ended, 1));  // told late, after the answer
+  r.step(4, step(9, What::ended, 1));  // reported only after the answer
   r.close(9, 4);
   r.turned_away(9, 5, head(), "full");
   ASSERT_EQ(kept.all.size(), 4u);
@@ -80,14 +82,16 @@
   EXPECT_EQ(kept.all[3].verdict, Verdict::turned_away);
 }
 
-// Guards against memory that grows with what is held: an outage holds 100,000 messages, then all fail.
+// Guards against memory that grows with the number of held messages: an outage holds 100,000 of them, then
+// all fail.
 TEST(Recorder, StaysWithinItsMemoryAndGivesUpThePlainOnesFirst) {
-  Kept kept;
+  KeptTraces kept;
   const std::size_t most = 1 << 20;
   Recorder r({.bytes_max = most, .steps_max = 16, .sample = 0, .per_second = 1e9}, 7, kept.sink());
   for (trace::MessageId id = 1; id <= 1'000; id++) {
     r.begin(0, id, head());
-    if (id > 500) r.step(id, step(1, What::send, 1));  // a second attempt: trouble
+    if (id > 500)
+      r.step(id, step(1, What::send, 1));  // a second attempt: no longer a trace in which nothing went wrong
   }
   for (trace::MessageId id = 1'001; id <= 100'000; id++) r.begin(2, id, head());
   for (int i = 0; i < 20; i++)
@@ -100,19 +104,20 @@
     r.over(id, Verdict::failed, step(4, What::answered)), r.close(4, id);
   std::size_t troubled = 0;
   for (const auto& s : kept.all) troubled += s.id > 500 && s.id <= 1'000;
-  EXPECT_EQ(troubled, 500u);  // shortened perhaps, but none of them lost
+  EXPECT_EQ(troubled, 500u);  // steps may have been left out, but no trace was lost
   EXPECT_EQ(r.bytes(), 0u);
   EXPECT_EQ(r.open(), 0u);
 }
 
-// Guards against a flood of one trouble that hides another: all of the rare kind are kept.
+// Guards against a flood of one kind of trouble that hides another kind: every trace of the rare kind is
+// kept.
 TEST(Recorder, AFloodOfOneKindLeavesRoomForAnother) {
-  Kept kept;
+  KeptTraces kept;
   Recorder r({.per_second = 20}, 7, kept.sink());
   trace::MessageId id = 1;
   for (int second = 0; second < 60; second++) {
-    for (int i = 0; i < 5'000; i++) whole(r, second * kS + i * 100, id++, Verdict::refused);
-    whole(r, second * kS + 999 * kMs, id++, Verdict::failed, head("pay"));
+    for (int i = 0; i < 5'000; i++) record_message(r, second * kS + i * 100, id++, Verdict::refused);
+    record_message(r, second * kS + 999 * kMs, id++, Verdict::failed, head("pay"));
   }
   EXPECT_EQ(kept.of(Verdict::failed, "pay"), 60u);
   EXPECT_GE(kept.of(Verdict::refused), 60u * 10);
@@ -121,7 +126,7 @@
 }
 
 TEST(Recorder, ALongStoryKeepsItsBeginningAndItsEnd) {
-  Kept kept;
+  KeptTraces kept;
   Recorder r({.steps_max = 10, .per_second = 1e9}, 7, kept.sink());
   r.begin(0, 1, head());
   for (int i = 0; i < 1'000; i++) r.step(1, step(i + 1, What::send, i));
@@ -184,9 +189,10 @@
       {"[]", "a story is no object"},
       {R"({"verdict":"lost","steps":[]})", "'lost' is not known"},
       {R"({"verdict":"served"})", "'steps' is no list"},
-      {R"({"verdict":"served","wall":-1,"steps":[]})", "'wall' is not a whole number"},
+      {R"({"verdict":"served","wall":-1,"steps":[]})", "'wall' is not a record_message number"},
       {R"({"verdict":"served","steps":[{"what":"sent"}]})", "'sent' is not known"},
-      {R"({"verdict":"served","wall":9223372036854775807,"steps":[]})", "'wall' is not a whole number"},
+      {R"({"verdict":"served","wall":9223372036854775807,"steps":[]})",
+       "'wall' is not a record_message number"},
       {R"({"verdict":"served","steps":[7]})", "a step is no object"},
       {std::string(1'000'000, '['), "this is no JSON"},
   };
@@ -206,7 +212,8 @@
   return all;
 }
 
-// The story of a message that is turned back once and then served, against what the stand-ins saw.
+// Compares the trace of a message that is refused once and then served with what the stand-in endpoints
+// received.
 TEST(Trace, TellsWhatPassedAtTheSockets) {
   Service s;
   s.add("c", 2);
@@ -223,7 +230,7 @@
   turn(s.loop, [&] { return s.calls() >= 2; });
   for (const char* e : {"c-1", "c-2"}) s.endpoint(e).end(f.fault);
   turn(s.loop, [&] { return c.answers.count(id) > 0; });
-  s.node.reset();  // writes all
+  s.node.reset();  // writes all traces to the file
   const auto all = stories_in(s.settings.trace_file);
   ASSERT_EQ(all.size(), 2u);
   const Story& story = all[1];
@@ -231,19 +238,19 @@
   EXPECT_TRUE(trace::is_named(story, "relay-0-2"));
   EXPECT_EQ(story.verdict, Verdict::retried);
   EXPECT_EQ(story.steps.front().stream, id);
-  std::vector<std::pair<std::string, std::uint32_t>> told, seen;
-  std::string at;
+  std::vector<std::pair<std::string, std::uint32_t>> traced, seen;
+  std::string endpoint;
   int sends = 0;
   for (const auto& x : story.steps) {
-    if (x.what == What::carried) told.emplace_back(at, x.stream);
+    if (x.what == What::carried) traced.emplace_back(endpoint, x.stream);
     if (x.what != What::send) continue;
-    at = x.endpoint, sends++;
+    endpoint = x.endpoint, sends++;
     EXPECT_GT(x.round, 0u);
     EXPECT_FALSE(x.reason().empty());
   }
   for (const auto& r : s.frames)
     if (r.what == "HEADERS" && !r.sent && r.fields.count("topic") > 0) seen.emplace_back(r.place, r.stream);
-  EXPECT_EQ(told, seen);
+  EXPECT_EQ(traced, seen);
   EXPECT_GE(sends, 2);
   EXPECT_EQ(story.steps.back().what, What::answered);
   const auto text = trace::tell(story);
@@ -251,7 +258,8 @@
   EXPECT_NE(text.find("REFUSED_STREAM"), std::string::npos) << text;
 }
 
-// A given-up message says why the module gave it up; one that the door turns away says that.
+// The trace of a message that was given up names the dispatcher's reason; that of a message rejected at
+// admission names the rejection.
 TEST(Trace, ReasonsOfTheLastDecisionAreTold) {
   Service s;
   s.add("c", 1);
@@ -282,13 +290,13 @@
 
 TEST(Trace, AFileThatCantBeWrittenIsSaidAtTheStartAndADamagedOneWhenItIsRead) {
   Service s;
-  s.settings.trace_file = s.folder;  // a folder is no file
+  s.settings.trace_file = s.folder;  // a directory can't be opened as a file
   EXPECT_THROW(s.start(), std::runtime_error);
   Story good;
   good.message = "m";
   const std::string line = trace::to_json(good);
   const std::string file = s.folder + "/stories";
-  std::ofstream(file) << line << "\n" << line.substr(0, 20);  // as a killed relay leaves it
+  std::ofstream(file) << line << "\n" << line.substr(0, 20);  // as a killed relay leaves the file
   const auto read = trace::read_stories({file}, [](Story&&) {});
   EXPECT_EQ(read.stories, 1u);
   EXPECT_EQ(read.torn, 1u);
