--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -90,8 +90,7 @@
   Recorder r({.bytes_max = most, .steps_max = 16, .sample = 0, .per_second = 1e9}, 7, kept.sink());
   for (trace::MessageId id = 1; id <= 1'000; id++) {
     r.begin(0, id, head());
-    if (id > 500)
-      r.step(id, step(1, What::send, 1));  // a second attempt: no longer a trace in which nothing went wrong
+    if (id > 500) r.step(id, step(1, What::send, 1));  // a retry: not a trouble-free trace
   }
   for (trace::MessageId id = 1'001; id <= 100'000; id++) r.begin(2, id, head());
   for (int i = 0; i < 20; i++)
@@ -189,10 +188,9 @@
       {"[]", "a story is no object"},
       {R"({"verdict":"lost","steps":[]})", "'lost' is not known"},
       {R"({"verdict":"served"})", "'steps' is no list"},
-      {R"({"verdict":"served","wall":-1,"steps":[]})", "'wall' is not a record_message number"},
+      {R"({"verdict":"served","wall":-1,"steps":[]})", "'wall' is not a whole number"},
       {R"({"verdict":"served","steps":[{"what":"sent"}]})", "'sent' is not known"},
-      {R"({"verdict":"served","wall":9223372036854775807,"steps":[]})",
-       "'wall' is not a record_message number"},
+      {R"({"verdict":"served","wall":9223372036854775807,"steps":[]})", "'wall' is not a whole number"},
       {R"({"verdict":"served","steps":[7]})", "a step is no object"},
       {std::string(1'000'000, '['), "this is no JSON"},
   };
