--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -30,8 +30,9 @@
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  // The time at which this iteration's poll(2) returned, or of the last refresh(), which reads the clock.
+  // The time at which this iteration's poll(2) returned, or a later time at which the clock was read anew.
   Time now() const { return now_; }
+  // Reads the clock anew and returns it.
   Time refresh() { return now_ = monotonic_now(); }
 
   // Calls `callback` whenever one of `events` is ready. Replaces an earlier watch of the same descriptor.
--- a/src/loop/timers.hpp
+++ b/src/loop/timers.hpp
@@ -205,8 +205,8 @@
     node.next = free_, free_ = n;
     size_--;
   }
-  // Moves `base_` to the next tick at which a slot becomes current (`target` at most) and distributes the
-  // timers of the slots that become current there to lower levels or to the due list.
+  // Moves the current tick to the next tick at which a slot becomes current (`target` at most) and
+  // distributes the timers of the slots that become current there to lower levels or to the due list.
   void advance(std::uint64_t target) {
     std::uint64_t to = target;
     for (unsigned level = 0; level < kLevels; level++) {
--- a/src/record/smpp_tap.hpp
+++ b/src/record/smpp_tap.hpp
@@ -20,7 +20,7 @@
 class SmppTap final : public Tap {
  public:
   // Needed only at a client. `path_of` returns the path with the destination and class that a submit names;
-  // `book` is shared by the client's binds to one relay.
+  // the pending receipts are shared by the client's binds to one relay.
   struct Client {
     std::function<std::string(const smpp::Message&)> path_of;
     std::shared_ptr<ReceiptBook> book;
--- a/src/trace/story.hpp
+++ b/src/trace/story.hpp
@@ -35,7 +35,7 @@
   Time told_wait = 0;    // ended: the wait that the endpoint asked for
   std::string endpoint;  // send, ended
   std::string text;      // the reason, or an attempt's outcome, where it is composed at run time
-  const char* why = "";  // the same where it is a string literal; used if `text` is empty
+  const char* why = "";  // the same where it is a string literal; used if the composed text is empty
   std::string reason() const { return text.empty() ? why : text; }
 };
 const char* name_of(Step::What what);
@@ -53,7 +53,7 @@
   std::string destination, message_class, tenant;  // names; `tenant` is empty if there is none
   Time taken = 0, aim = 0, deadline = 0;           // points in time; a deadline of 0: rejected at admission
   Time over_at = 0;
-  std::int64_t wall = 0;  // `taken` in microseconds since 1970 by the clock of the relay's host
+  std::int64_t wall = 0;  // time of acceptance in microseconds since 1970, by the clock of the relay's host
   Verdict verdict = Verdict::served;
   bool watched = false;  // kept because its destination is watched
   std::uint64_t stands_for =
