--- a/src/trace/file.hpp
+++ b/src/trace/file.hpp
@@ -23,7 +23,7 @@
 class File {
  public:
   struct Options {
-    std::string file;
+    std::string file;                      // path of the current file
     std::size_t bytes = 64 * 1024 * 1024;  // size limit of one file
     std::size_t files = 4;                 // rotated files kept; FILE.1 is the newest
     std::size_t queue = 8192;              // traces that may wait to be written
--- a/src/trace/recorder.hpp
+++ b/src/trace/recorder.hpp
@@ -17,13 +17,14 @@
 
 namespace cedarplank::trace {
 
+// Limits, and which traces of messages that went well are kept.
 struct Settings {
   std::size_t bytes_max = 16 * 1024 * 1024;  // of traces that are still open
   int steps_max = 32;                        // of one trace; beyond it steps in the middle are left out
   int sample = 100;                          // of messages that went well one in this many is kept; 0: none
   double per_second = 200;                   // traces kept per second, of all kinds together
-  std::set<std::string> watch =
-      {};  // destinations whose messages are all worth keeping, whatever their outcome
+  // Destinations whose messages are all worth keeping, whatever their outcome.
+  std::set<std::string> watch = {};
 };
 
 // A rate limit on kept traces, shared so that no kind of trouble crowds out the others: half of the rate is
@@ -63,7 +64,7 @@
 
   // A message was accepted.
   void begin(Time now, MessageId id, Head head);
-  // A message was rejected at admission: its trace has only that step and is ended at once.
+  // A message was rejected at admission: its trace consists of its arrival and that answer, and ends at once.
   void turned_away(Time now, MessageId id, Head head, const char* why);
   // Adds a step; ignored if the message has no open trace. Steps may still come after the final answer.
   void step(MessageId id, Step step);
