--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -67,14 +67,14 @@
   struct Watch {
     IoCallback callback;
     std::uint64_t serial = 0;  // 0: no watch; tells a reused descriptor number from the one that was ready
-    std::size_t index = 0;     // position in polled_
+    std::size_t index = 0;     // position in the poll set
   };
   void drain_pipe();  // empties the self-pipe, then runs posted callbacks and signal callbacks
   void run_timers();
   void run_deferred();
 
   TimerQueue timers_;
-  std::vector<pollfd> polled_;  // without gaps; polled_[0] is the self-pipe
+  std::vector<pollfd> polled_;  // without gaps; the first entry is the self-pipe
   std::vector<Watch> watches_;  // indexed by descriptor
   std::uint64_t next_serial_ = 1;
   struct Ready {
