--- a/src/gateway/front.cpp
+++ b/src/gateway/front.cpp
@@ -6,8 +6,10 @@
 namespace cedarplank::gateway {
 namespace {
 
-constexpr std::size_t kUnreadAnswers = 1 << 20;  // bytes; beyond it nothing more is read from that client
-constexpr Time kLinger = 2'000'000;
+// Bytes of answers that wait to be sent to one client; beyond it nothing more is read from that client.
+constexpr std::size_t kMaxUnsentAnswerBytes = 1 << 20;
+// How long the output of a failed connection, its GOAWAY included, may take to be sent. In us.
+constexpr Time kCloseLinger = 2'000'000;
 
 const char* title_of(int status) {
   switch (status) {
@@ -64,7 +66,7 @@
 }
 
 void Front::accept(net::Fd fd) {
-  // At the cap further connections wait in the backlog until another one ends: see close().
+  // At the limit, further connections wait in the listener's backlog until one closes: see close().
   if (clients_.size() + 1 >= static_cast<std::size_t>(settings_.client_connections_max))
     listener_->pause(true);
   http2::LocalSettings local;
@@ -92,8 +94,9 @@
 void Front::flush(Client& c) {
   if (c.closing || !c.h2.has_output()) return;
   c.stream->write(c.h2.take_output());
-  // A client that reads no answers may not go on asking: what is held for it stays bounded.
-  if (!c.paused && c.stream->queued() - c.stream->flushed() > kUnreadAnswers) {
+  // Reads no more requests from a client that doesn't read its answers, so that the answers held for it stay
+  // bounded.
+  if (!c.paused && c.stream->queued() - c.stream->flushed() > kMaxUnsentAnswerBytes) {
     c.paused = true;
     c.stream->pause_reading(true);
   }
@@ -110,7 +113,7 @@
   flush(c);
   if (c.h2.failed() && !c.closing) {
     c.closing = true;
-    c.stream->finish(kLinger);
+    c.stream->finish(kCloseLinger);
   }
 }
 
@@ -122,7 +125,7 @@
       break;
     case Type::data: {
       const auto it = c.coming.find(e.stream);
-      if (it == c.coming.end()) break;  // answered already: the rest is not wanted
+      if (it == c.coming.end()) break;  // answered already: the rest of the body is ignored
       auto& body = it->second.message.body;
       if (const auto rejection = intake_.check_body(body.size() + e.data.size())) {
         drop_request(c, e.stream);
@@ -152,7 +155,7 @@
       break;
     }
     case Type::failed: {
-      if (e.local) host_.log("client connection failed: " + e.data);
+      if (e.local) host_.log("client connection closed after a connection error: " + e.data);
       const auto taken = std::move(c.taken);
       c.taken.clear();
       for (const auto& [stream, id] : taken) lost(id);
@@ -167,7 +170,7 @@
   }
 }
 
-// All that can be wrong with a request is told before anything is taken.
+// Everything that can be wrong with a request's headers is reported before any of its body is kept.
 void Front::on_request(Client& c, http2::Event& e) {
   const auto bad = [&](int status, const std::string& detail, http2::Headers extra = {}) {
     answer_problem(c, e.stream, {status, title_of(status), detail}, std::move(extra));
@@ -213,8 +216,8 @@
   if (host_.book != nullptr && !r.message.idempotency_key.empty() && known_already(c, stream, r)) return;
   if (stopping_) return answer_problem(c, stream, {503, title_of(503), "the relay is stopping; not taken"});
   MessageId id = 0;
-  const auto entry = host_.take(std::move(r.message), [&](MessageId named) {
-    id = named;
+  const auto entry = host_.take(std::move(r.message), [&](MessageId assigned) {
+    id = assigned;
     c.taken[stream] = id;
     places_[id] = {c.id, stream};
   });
@@ -226,34 +229,39 @@
   places_.erase(id);
   if (entry.taken == relay::Core::Taken::unfit)
     return answer_problem(c, stream, {400, title_of(400), entry.why});
-  // Short of room or time, which passes; a relay that stops has no time to come back to.
+  // Too little capacity or time is a passing state, so the client may try again. A relay that is stopping
+  // gives no retry-after, since it won't be there.
   http2::Headers extra;
   if (entry.taken == relay::Core::Taken::full) extra.push_back({"retry-after", "1"});
   answer_problem(c, stream, {503, title_of(503), entry.why}, std::move(extra));
 }
 
-// RFC 8030 section 5.1: 202 with the place of the message resource, once that outlives a crash.
+// RFC 8030 section 5.1: 202 with the location of the message resource, once the message would survive a
+// crash.
 void Front::accepted(MessageId id, ClientId client, http2::StreamId stream) {
   host_.book->keep_answer(id);
   host_.book->when_taken(id, [this, id, client, stream, alive = alive_] {
     if (!*alive) return;
     const auto it = places_.find(id);
-    if (it == places_.end() || it->second != std::pair(client, stream)) return;  // answered, or gone
+    // Answered meanwhile, or its client left.
+    if (it == places_.end() || it->second != std::pair(client, stream)) return;
     final_answer(id, {{":status", "202"}, {"location", "/message/" + message_name(id)}});
   });
 }
 
 void Front::lost(MessageId id) {
   places_.erase(id);
-  // A relay that remembers goes on with it: its client may have lost no more than the connection.
+  // A relay that remembers messages goes on with it, since the client may have lost only its connection and
+  // may ask again.
   if (host_.book != nullptr)
     host_.book->keep_answer(id);
   else
     host_.withdraw(id);
 }
 
-// The repeat of a request waits with it, or gets the answer that it had. One that was refused had no effect,
-// and is taken anew.
+// The repeat of a request takes over the wait for its message if no other request waits for it (409 if one
+// does), or gets the final answer that the message had. A message that was refused had no effect, so its
+// repeat is accepted as a new message.
 bool Front::known_already(Client& c, http2::StreamId stream, const Request& r) {
   using What = relay::Book::Entry::What;
   const auto e = host_.book->find(r.tenant, r.destination, r.message_class, r.message);
@@ -272,7 +280,7 @@
   return true;
 }
 
-// As the message's own request would have been answered.
+// The same response that the message's first request would have got.
 void Front::answer_entry(Client& c, http2::StreamId stream, const relay::Book::Entry& e) {
   if (e.what == relay::Book::Entry::What::served)
     return answer(c, stream, {{":status", "201"}, {"location", "/message/" + message_name(e.id)}});
@@ -296,7 +304,7 @@
     if (digits.find_first_not_of("0123456789") == std::string_view::npos)
       found = host_.book->look(std::strtoull(std::string(digits).c_str(), nullptr, 10));
   }
-  // Another tenant's is as little there as none.
+  // A message of another tenant is answered as if it didn't exist.
   if (!settings_.tenant_field.empty() &&
       found.tenant != http2::find_header(e.headers, settings_.tenant_field.c_str()))
     found = {};
@@ -305,7 +313,8 @@
     answer_problem(c, e.stream, {404, title_of(404), "no such message is held or remembered"});
   } else if (method == "DELETE") {
     if (found.what == What::held)
-      final_answer(found.id, {{":status", "410"}}), host_.withdraw(found.id);  // whoever waits for it
+      // 410 for the request that waits for it.
+      final_answer(found.id, {{":status", "410"}}), host_.withdraw(found.id);
     else
       host_.book->handed_over(found.id);
     answer(c, e.stream, {{":status", "204"}});
@@ -342,7 +351,7 @@
 
 void Front::final_answer(MessageId id, http2::Headers headers, const std::string& body) {
   const auto it = places_.find(id);
-  if (it == places_.end()) return;  // its client has gone
+  if (it == places_.end()) return;  // its client has left
   const auto [client, stream] = it->second;
   places_.erase(it);
   const auto at = clients_.find(client);
@@ -353,26 +362,27 @@
 }
 
 void Front::served(MessageId id, const relay::Ending&) {
-  // RFC 8030 section 5: 201 with the place of the message resource.
+  // RFC 8030 section 5: 201 with the location of the message resource.
   final_answer(id, {{":status", "201"}, {"location", "/message/" + message_name(id)}});
 }
 
-void Front::refused(MessageId id, Time come_back, const relay::Account& account) {
+void Front::refused(MessageId id, Time wait, const relay::Account& summary) {
   const Problem p{503, title_of(503), "handed back: trying again is harmless"};
   http2::Headers headers = {{":status", "503"}, {"content-type", "application/problem+json"}};
-  if (come_back > 0) headers.push_back({"retry-after", retry_after(come_back)});
-  const auto& name = settings_.names.classes[static_cast<std::size_t>(account.message_class)];
+  if (wait > 0) headers.push_back({"retry-after", retry_after(wait)});
+  const auto& name = settings_.names.classes[static_cast<std::size_t>(summary.message_class)];
   final_answer(id, std::move(headers),
-               problem_body(p, message_name(id), name, account.last, account.attempts));
+               problem_body(p, message_name(id), name, summary.last, summary.attempts));
 }
 
-void Front::failed(MessageId id, const relay::Account& account) {
-  // 504 where silence was the last that was seen, else 502; neither invites to come again.
-  const int status = account.attempts == 0 || account.last == "no answer in time" ? 504 : 502;
+void Front::failed(MessageId id, const relay::Account& summary) {
+  // 504 if the last attempt got no answer in time or there was none, else 502. Neither carries retry-after:
+  // the message may have taken effect.
+  const int status = summary.attempts == 0 || summary.last == "no answer in time" ? 504 : 502;
   const Problem p{status, title_of(status), "given up: it may or may not have taken effect"};
-  const auto& name = settings_.names.classes[static_cast<std::size_t>(account.message_class)];
+  const auto& name = settings_.names.classes[static_cast<std::size_t>(summary.message_class)];
   final_answer(id, {{":status", std::to_string(status)}, {"content-type", "application/problem+json"}},
-               problem_body(p, message_name(id), name, account.last, account.attempts));
+               problem_body(p, message_name(id), name, summary.last, summary.attempts));
 }
 
 void Front::stop_taking() {
@@ -380,8 +390,9 @@
   stopping_ = true;
   listener_.reset();
   for (auto& [id, c] : clients_) {
-    // RFC 9113 section 6.8: announced first; once the client has heard of it (it answers the PING) the last
-    // stream is fixed. Requests that come in between are answered as not taken.
+    // RFC 9113 section 6.8: the shutdown is announced first. Once the client has received that (it answers
+    // the PING), a second GOAWAY fixes the last stream. Requests received in between are answered as not
+    // accepted.
     c->h2.announce_shutdown();
     c->h2.ping("draining");
     flush(*c);
@@ -398,7 +409,7 @@
 void Front::close(ClientId id, const std::string&, bool abort) {
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
-  // Destroyed later: this may be called from the stream itself.
+  // Destroyed later, since this may be called from within the stream's own callbacks.
   std::shared_ptr<Client> c(std::move(it->second));
   clients_.erase(it);
   c->stream->close(abort);
@@ -408,7 +419,7 @@
   loop_.defer([c] {});
 }
 
-// Cuts off peers that stand still: answers that nobody reads, requests that never end.
+// Closes connections whose client reads no answers, and answers requests whose body doesn't end in time.
 void Front::sweep() {
   const Time now = loop_.now(), limit = settings_.stalled_after;
   std::vector<ClientId> stalled;
@@ -430,7 +441,7 @@
     flush(*c);
   }
   for (const auto id : stalled) {
-    host_.log("client reads nothing: cut off");
+    host_.log("client connection closed: the client did not read its answers in time");
     close(id, "stalled", true);
   }
   sweep_timer_ = loop_.after(limit / 4 + 1, [this] { sweep(); });
--- a/src/gateway/front.hpp
+++ b/src/gateway/front.hpp
@@ -1,4 +1,7 @@
-// The push gateway's front: clients' HTTP/2 connections to the core's messages, and final answers back.
+// The push gateway's server side: accepts HTTP/2 connections of clients, turns their requests (RFC 8030) into
+// messages for the core, and sends the core's final answers back as responses.
+//
+// Also serves the message resources (/message/<id>) where the relay remembers messages and their answers.
 #pragma once
 
 #include <functional>
@@ -17,49 +20,63 @@
 
 namespace cedarplank::gateway {
 
+// The core reports final answers by the functions of relay::Answers.
 class Front final : public relay::Answers {
  public:
+  // What the server needs from the relay around it.
   struct Host {
+    // Looks up a destination by name; nothing if there is none.
     std::function<std::optional<DestinationId>(const std::string&)> destination;
-    // The id is given before any answer can come.
-    std::function<relay::Entry(relay::NewMessage, const std::function<void(MessageId)>& named)> take;
+    // Submits a message to the core. If it is accepted, `id_assigned` is called with its id before any final
+    // answer can be given.
+    std::function<relay::Entry(relay::NewMessage, const std::function<void(MessageId)>& id_assigned)> take;
+    // The client no longer wants the message.
     std::function<void(MessageId)> withdraw;
-    std::function<int()> streams;  // that one client may have open now
+    // How many streams one client may have open now.
+    std::function<int()> streams;
     std::function<void(const std::string&)> log;
-    relay::Book* book = nullptr;  // null: the relay forgets what it has answered
+    // Null if the relay doesn't remember messages that it has answered.
+    relay::Book* book = nullptr;
   };
-  // Throws where the address can't be listened on.
+  // Throws if the address can't be listened on.
   Front(loop::Loop& loop, const config::RelaySettings& settings, Host host);
   ~Front() override;
 
+  // The address listened on, with the port that the system assigned.
   std::string address() const { return listener_->address().text(); }
 
-  void served(MessageId id, const relay::Ending& ending) override;
-  void refused(MessageId id, Time come_back, const relay::Account& account) override;
-  void failed(MessageId id, const relay::Account& account) override;
+  void served(MessageId id, const relay::Ending& result) override;
+  void refused(MessageId id, Time wait, const relay::Account& summary) override;
+  void failed(MessageId id, const relay::Account& summary) override;
 
-  // Nothing new is taken: the listener closes, and clients are told by GOAWAY which requests were taken.
+  // Accepts no new requests: closes the listener, and tells clients by GOAWAY which requests were accepted.
   void stop_taking();
-  // All answers are out.
+  // Whether every accepted request has been answered and every answer was handed to the kernel.
   bool drained() const;
 
  private:
-  struct Request {  // whose body is still coming
+  // A request whose body is still being received.
+  struct Request {
     relay::NewMessage message;
-    Time since = 0;
-    // For the book:
+    Time since = 0;  // when its headers were received
+    // The client's own names, for the lookup of repeated requests.
     std::string destination, message_class, tenant;
-    bool async = false;  // RFC 8030 section 5.1: its client will ask for the answer
+    // RFC 8030 section 5.1: answered with 202; the client asks the message resource for the final answer.
+    bool async = false;
   };
+  // One client connection.
   struct Client {
     std::uint64_t id = 0;
     std::unique_ptr<net::Stream> stream;
     http2::Connection h2;
-    std::map<http2::StreamId, Request> coming;
-    std::map<http2::StreamId, MessageId> taken;  // without their answer
-    std::uint64_t flushed_seen = 0;              // for the stall check
+    std::map<http2::StreamId, Request> coming;   // requests whose body is still being received
+    std::map<http2::StreamId, MessageId> taken;  // accepted requests that have no response yet
+    // For the stall check: the bytes that the kernel had taken at the last progress, and when that was. While
+    // nothing waits to be sent, every check counts as progress.
+    std::uint64_t flushed_seen = 0;
     Time progress_at = 0;
-    bool paused = false, closing = false;
+    bool paused = false;   // nothing is read from it: too many bytes of answers wait to be sent
+    bool closing = false;  // the connection failed; it closes once its output is sent
     explicit Client(const http2::LocalSettings& local) : h2(http2::Role::server, local) {}
   };
   using ClientId = std::uint64_t;
@@ -67,22 +84,33 @@
   void accept(net::Fd fd);
   void receive(ClientId id, std::string_view bytes);
   void on_event(Client& c, http2::Event& e);
+  // Checks a request's headers, and answers at once if they are wrong. Otherwise waits for the body.
   void on_request(Client& c, http2::Event& e);
+  // The body is complete: submits the message, or answers why it is not accepted.
   void complete(Client& c, http2::StreamId stream);
-  // A message resource: what became of a message, and its withdrawal. False where the path is none.
+  // Requests for a message resource: GET for the message's state, DELETE to cancel it. False if the path
+  // names no message resource.
   bool on_message(Client& c, const http2::Event& e);
-  // A message that the relay knows by its key already. False where it is to be taken.
+  // Answers a request whose message the relay knows already by its idempotency key. False if the request is
+  // to be submitted as a new message.
   bool known_already(Client& c, http2::StreamId stream, const Request& r);
+  // Answers 202 with the message resource as soon as the message would survive a crash of the relay.
   void accepted(MessageId id, ClientId client, http2::StreamId stream);
-  void lost(MessageId id);  // its client has gone
+  // The client's connection ended before the message's final answer.
+  void lost(MessageId id);
+  // Answers with a final answer that the relay remembers.
   void answer_entry(Client& c, http2::StreamId stream, const relay::Book::Entry& e);
+  // Forgets a request whose body is still being received.
   void drop_request(Client& c, http2::StreamId stream);
   void answer(Client& c, http2::StreamId stream, http2::Headers headers, const std::string& body = {});
   void answer_problem(Client& c, http2::StreamId stream, const Problem& p, http2::Headers extra = {});
+  // Answers the request that waits for the message, if its client is still connected.
   void final_answer(MessageId id, http2::Headers headers, const std::string& body = {});
+  // The name by which clients know a message: "<relay name>-<id>".
   std::string message_name(MessageId id) const { return settings_.name + "-" + std::to_string(id); }
   void flush(Client& c);
   void close(ClientId id, const std::string& why, bool abort);
+  // Runs regularly: closes stalled connections and answers requests whose body takes too long.
   void sweep();
 
   loop::Loop& loop_;
@@ -90,12 +118,14 @@
   Host host_;
   std::unique_ptr<net::Listener> listener_;
   std::map<ClientId, std::unique_ptr<Client>> clients_;
+  // The request that waits for each message's final answer.
   std::map<MessageId, std::pair<ClientId, http2::StreamId>> places_;
   relay::Intake intake_;
   ClientId next_client_ = 1;
-  std::size_t body_bytes_ = 0;  // of requests that are still coming
+  std::size_t body_bytes_ = 0;  // received for requests whose body is not complete yet, on all connections
   bool stopping_ = false;
   loop::TimerId sweep_timer_ = 0;
+  // Set to false by the destructor, for callbacks that outlive this object.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/gateway/push_link.cpp
+++ b/src/gateway/push_link.cpp
@@ -5,8 +5,10 @@
 namespace cedarplank::gateway {
 namespace {
 
-constexpr Time kLinger = 1'000'000;
-constexpr std::size_t kTailMost = 64 * 1024;  // bytes of an answer's body that are let pass unread
+// How long the rest of the output may take to be sent when the connection is closed. In us.
+constexpr Time kCloseLinger = 1'000'000;
+// Bytes of a response's body that are read and ignored; beyond it the stream is reset.
+constexpr std::size_t kMaxIgnoredBodyBytes = 64 * 1024;
 
 }  // namespace
 
@@ -24,25 +26,26 @@
   handlers.data = [this](std::string_view bytes) { receive(bytes); };
   handlers.drained = [this] { driver_.touched(endpoint_.id); };
   handlers.closed = [this](const std::string& why) { driver_.gone(endpoint_.id, id_, why); };
-  // The connect time-out runs until the endpoint's SETTINGS, not only until the socket connects.
+  // The connect time-out covers the wait for the endpoint's SETTINGS as well, not only the socket's connect.
   const auto to = net::Address::parse(endpoint_.address);
-  const Time within = settings_.dispatcher.connect_timeout;
-  stream_ = connector ? connector(to, within, std::move(handlers))
-                      : std::make_unique<net::TcpStream>(loop_, to, within, std::move(handlers));
+  const Time timeout = settings_.dispatcher.connect_timeout;
+  stream_ = connector ? connector(to, timeout, std::move(handlers))
+                      : std::make_unique<net::TcpStream>(loop_, to, timeout, std::move(handlers));
 }
 
 void PushLink::flush() {
   if (h2_.has_output()) stream_->write(h2_.take_output());
 }
 
-// Nothing is put behind bytes that the endpoint doesn't read: it could no longer be called back.
+// No call is written behind bytes that the endpoint hasn't read yet, because such a call could no longer be
+// cancelled before it leaves.
 bool PushLink::takes_more() const {
   return h2_.can_request() && stream_->queued() == stream_->flushed() && h2_.unsent_body() == 0;
 }
 
 std::optional<back::Link::Room> PushLink::room() {
   if (!h2_.standing()) return std::nullopt;
-  // Streams whose answers still have a body coming count too; the pool doesn't know them.
+  // Streams whose response body is still being received count too; the pool doesn't know of them.
   const bool full = h2_.streams() >= static_cast<std::size_t>(settings_.endpoint_streams_max);
   return Room{h2_.peer_max_streams(), full || !takes_more()};
 }
@@ -75,12 +78,12 @@
   return {Submitted::Went::yes, out.stream, {}};
 }
 
-void PushLink::end_stream(http2::StreamId stream, relay::Ending ending) {
+void PushLink::end_stream(http2::StreamId stream, relay::Ending result) {
   const auto it = calls_.find(stream);
   if (it == calls_.end()) return;
   const auto call = it->second;
   calls_.erase(it), out_.erase(call);
-  driver_.answered(endpoint_.id, id_, call, std::move(ending));
+  driver_.answered(endpoint_.id, id_, call, std::move(result));
 }
 
 void PushLink::receive(std::string_view bytes) {
@@ -120,7 +123,7 @@
       it->second.second += e.data.size();
       if (e.end_stream) {
         tails_.erase(it);
-      } else if (it->second.second > kTailMost) {
+      } else if (it->second.second > kMaxIgnoredBodyBytes) {
         tails_.erase(it);
         h2_.reset(e.stream, http2::ErrorCode::cancel);
       }
@@ -151,7 +154,7 @@
   }
 }
 
-// Answers whose bodies don't come to an end would hold their streams for ever.
+// Resets streams whose response body doesn't end in time; they would count against the stream limit for ever.
 void PushLink::tidy() {
   for (auto it = tails_.begin(); it != tails_.end();) {
     const auto [stream, tail] = *it;
@@ -179,14 +182,14 @@
 void PushLink::close() {
   h2_.goaway();
   flush();
-  stream_->finish(kLinger);
+  stream_->finish(kCloseLinger);
 }
 
 relay::Ending PushLink::ending_when_lost(relay::CallId call, const std::string& why) {
   const auto it = out_.find(call);
-  // Not a byte of it was handed to the kernel: that proves that it never ran.
-  const bool left = it == out_.end() || stream_->flushed() > it->second.begins_at;
-  return ending_of_break(left ? Break::reset : Break::unsent, http2::ErrorCode::no_error, why);
+  // If not a byte of it was handed to the kernel, the call can't have run.
+  const bool may_have_left = it == out_.end() || stream_->flushed() > it->second.begins_at;
+  return ending_of_break(may_have_left ? Break::reset : Break::unsent, http2::ErrorCode::no_error, why);
 }
 
 }  // namespace cedarplank::gateway
--- a/src/gateway/push_link.hpp
+++ b/src/gateway/push_link.hpp
@@ -1,7 +1,7 @@
-// The push gateway's back: calls to one endpoint as requests on an HTTP/2 connection.
+// The push gateway's client side: one HTTP/2 connection to an endpoint, on which each call is a request.
 //
-// It counts as standing once the endpoint's SETTINGS have come, and nothing is sent before: until then every
-// failure proves that no call ran (docs/design/gateway.md).
+// The connection counts as established once the endpoint's SETTINGS were received, and no call is sent
+// before: until then every failure proves that no call ran (docs/design/gateway.md).
 #pragma once
 
 #include <functional>
@@ -15,16 +15,17 @@
 
 namespace cedarplank::gateway {
 
+// The HTTP/2 implementation of back::Link.
 class PushLink final : public back::Link {
  public:
-  // The seam for TLS with ALPN.
+  // Opens the connection; another one can be set, for TLS with ALPN for example.
   using Connector = std::function<std::unique_ptr<net::Stream>(const net::Address& to, Time timeout,
                                                                net::Stream::Handlers)>;
   struct Host {
     std::function<std::int64_t()> wall;  // seconds since 1970, for Retry-After dates
     std::function<void(const std::string&)> log;
   };
-  // Throws where the address can't be connected to.
+  // Starts to connect. Throws if no connection to the address can be started.
   PushLink(loop::Loop& loop, const config::RelaySettings& settings, const config::PartnerEndpoint& endpoint,
            pool::LinkId id, back::Driver& driver, Host host, const Connector& connector = {});
 
@@ -38,13 +39,15 @@
   relay::Ending ending_when_lost(relay::CallId call, const std::string& why) override;
 
  private:
+  // A call that was sent and has no result yet.
   struct Out {
     http2::StreamId stream = 0;
-    std::uint64_t begins_at = 0;  // place of its first byte in what the connection sends
+    std::uint64_t begins_at = 0;  // offset of its first byte in all that the connection has written
   };
   void receive(std::string_view bytes);
   void on_event(http2::Event& e);
-  void end_stream(http2::StreamId stream, relay::Ending ending);
+  // Reports the result of the call on that stream, if it has one out.
+  void end_stream(http2::StreamId stream, relay::Ending result);
   bool takes_more() const;
   void flush();
 
@@ -56,9 +59,11 @@
   Host host_;
   http2::Connection h2_{http2::Role::client};
   std::unique_ptr<net::Stream> stream_;
-  std::map<http2::StreamId, relay::CallId> calls_;
-  std::map<relay::CallId, Out> out_;
-  std::map<http2::StreamId, std::pair<Time, std::size_t>> tails_;  // answered; their bodies are still coming
+  std::map<http2::StreamId, relay::CallId> calls_;  // calls without a result, by stream
+  std::map<relay::CallId, Out> out_;                // the same calls, by id
+  // Streams whose response headers were received and whose bodies are not complete: since when, and the bytes
+  // received so far.
+  std::map<http2::StreamId, std::pair<Time, std::size_t>> tails_;
 };
 
 }  // namespace cedarplank::gateway
--- a/src/gateway/semantics.cpp
+++ b/src/gateway/semantics.cpp
@@ -10,10 +10,13 @@
 namespace cedarplank::gateway {
 namespace {
 
-constexpr std::int64_t kLongestWait = 24 * 3600;              // seconds of a told wait that are believed
-constexpr std::int64_t kLongestTtl = 10LL * 365 * 24 * 3600;  // seconds
+// Limit of the wait that an endpoint can ask for by Retry-After.
+constexpr std::int64_t kMaxToldWaitSeconds = 24 * 3600;
+// Limit of a client's TTL.
+constexpr std::int64_t kMaxTtlSeconds = 10LL * 365 * 24 * 3600;
 
-std::optional<std::int64_t> whole_number(std::string_view text) {
+// A non-negative decimal number; the largest int64 where it doesn't fit.
+std::optional<std::int64_t> parse_whole_number(std::string_view text) {
   std::int64_t v = 0;
   if (text.empty() || text.front() == '-') return std::nullopt;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), v);
@@ -22,21 +25,24 @@
   return error == std::errc() ? std::optional(v) : std::nullopt;
 }
 
-int hex_digit(char c) {
+// -1 for any other character.
+int hex_digit_value(char c) {
   return c >= '0' && c <= '9'   ? c - '0'
          : c >= 'a' && c <= 'f' ? c - 'a' + 10
          : c >= 'A' && c <= 'F' ? c - 'A' + 10
                                 : -1;
 }
-std::optional<std::string> percent_decoded(std::string_view text) {
+// Nothing if an escape is malformed.
+std::optional<std::string> percent_decode(std::string_view text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); i++) {
     if (text[i] != '%') {
       out.push_back(text[i]);
       continue;
     }
-    if (i + 2 >= text.size() || hex_digit(text[i + 1]) < 0 || hex_digit(text[i + 2]) < 0) return std::nullopt;
-    out.push_back(static_cast<char>(hex_digit(text[i + 1]) << 4 | hex_digit(text[i + 2])));
+    if (i + 2 >= text.size() || hex_digit_value(text[i + 1]) < 0 || hex_digit_value(text[i + 2]) < 0)
+      return std::nullopt;
+    out.push_back(static_cast<char>(hex_digit_value(text[i + 1]) << 4 | hex_digit_value(text[i + 2])));
     i += 2;
   }
   return out;
@@ -55,19 +61,19 @@
   return std::nullopt;
 }
 
-Time parse_retry_after(std::string_view value, std::string_view date, std::int64_t wall) {
+Time parse_retry_after(std::string_view value, std::string_view date, std::int64_t wall_clock) {
   std::int64_t seconds = 0;
-  if (const auto n = whole_number(value)) {
+  if (const auto n = parse_whole_number(value)) {
     seconds = *n;
   } else if (const auto until = parse_http_date(value)) {
-    // Against the peer's own clock where it tells it: the two clocks may differ.
-    seconds = *until - parse_http_date(date).value_or(wall);
+    // Counted from the peer's own clock if the response has a Date, since the two clocks may differ.
+    seconds = *until - parse_http_date(date).value_or(wall_clock);
   }
-  return std::clamp<std::int64_t>(seconds, 0, kLongestWait) * 1'000'000;
+  return std::clamp<std::int64_t>(seconds, 0, kMaxToldWaitSeconds) * 1'000'000;
 }
 
 relay::Ending ending_of_response(const http2::Headers& headers, const config::KindWire& kind,
-                                 std::int64_t wall) {
+                                 std::int64_t wall_clock) {
   relay::Ending e;
   const auto status = http2::find_header(headers, ":status");
   e.what = "status " + std::string(status);
@@ -75,16 +81,16 @@
     e.outcome = Outcome::served;
     e.location = http2::find_header(headers, "location");
   } else if (status == "429" || (status == "503" && kind.unseen_503)) {
-    e.outcome = Outcome::full;  // turned away unseen (RFC 6585 section 4)
+    e.outcome = Outcome::full;  // rejected unprocessed (RFC 6585 section 4)
   } else {
     e.outcome = Outcome::error;  // it may have taken effect
   }
-  // A wait is a wait whatever the status says.
+  // Retry-After counts with every status.
   e.told_wait = parse_retry_after(http2::find_header(headers, "retry-after"),
-                                  http2::find_header(headers, "date"), wall);
-  // Load report, from the RateLimit fields that gateways send: the quota and what is left of it.
-  const auto limit = whole_number(http2::find_header(headers, "ratelimit-limit"));
-  const auto left = whole_number(http2::find_header(headers, "ratelimit-remaining"));
+                                  http2::find_header(headers, "date"), wall_clock);
+  // Load report from the RateLimit fields that some gateways send: the quota and what remains of it.
+  const auto limit = parse_whole_number(http2::find_header(headers, "ratelimit-limit"));
+  const auto left = parse_whole_number(http2::find_header(headers, "ratelimit-remaining"));
   if (limit && *limit > 0 && left)
     e.report.limit_left = std::min(1.0, static_cast<double>(*left) / static_cast<double>(*limit));
   return e;
@@ -101,7 +107,8 @@
       e.outcome = Outcome::full, e.what = "REFUSED_STREAM";
       break;
     case Break::goaway:
-      // A connection that ends in good order says nothing of the endpoint; one ended in anger is a refusal.
+      // An orderly shutdown (NO_ERROR) says nothing about the endpoint's load; any other code counts as a
+      // refusal.
       e.outcome = code == http2::ErrorCode::no_error ? Outcome::not_sent : Outcome::full;
       e.what = std::string("GOAWAY ") + http2::name_of(code);
       break;
@@ -124,16 +131,16 @@
   const auto slash = path.find('/');
   if (slash == std::string_view::npos || path.find('/', slash + 1) != std::string_view::npos)
     return std::nullopt;
-  const auto destination = percent_decoded(path.substr(0, slash)),
-             cls = percent_decoded(path.substr(slash + 1));
+  const auto destination = percent_decode(path.substr(0, slash)),
+             cls = percent_decode(path.substr(slash + 1));
   if (!destination || !cls || destination->empty() || cls->empty()) return std::nullopt;
   return PushTarget{*destination, *cls};
 }
 
 std::optional<Time> parse_ttl(std::string_view text) {
-  const auto seconds = whole_number(text);
+  const auto seconds = parse_whole_number(text);
   if (!seconds) return std::nullopt;
-  return std::min(*seconds, kLongestTtl) * 1'000'000;
+  return std::min(*seconds, kMaxTtlSeconds) * 1'000'000;
 }
 
 std::string problem_body(const Problem& problem, const std::string& message, const std::string& message_class,
@@ -197,8 +204,6 @@
   return false;
 }
 
-std::string retry_after(Time come_back) {
-  return std::to_string(std::max<Time>(1, (come_back + 999'999) / 1'000'000));
-}
+std::string retry_after(Time wait) { return std::to_string(std::max<Time>(1, (wait + 999'999) / 1'000'000)); }
 
 }  // namespace cedarplank::gateway
--- a/src/gateway/semantics.hpp
+++ b/src/gateway/semantics.hpp
@@ -1,5 +1,6 @@
-// What the wire says, in the module's terms, and back: HTTP push (RFC 8030) on HTTP semantics (RFC 9110).
-// Free of I/O and clock; docs/operate/outcomes.md has the same table for people.
+// Maps HTTP push (RFC 8030, on HTTP semantics of RFC 9110) to the relay's terms and back: outcomes of
+// responses, parsing of request fields, bodies of answers. Does no I/O and reads no clock;
+// docs/operate/outcomes.md has the table of outcomes for operators.
 #pragma once
 
 #include <optional>
@@ -13,50 +14,56 @@
 
 namespace cedarplank::gateway {
 
-// How a call was cut off.
+// How a call ended without a final response.
 enum class Break {
-  no_connection,   // never connected, or no SETTINGS came: nothing had been sent
+  no_connection,   // not connected, or no SETTINGS received: nothing of the call had been sent
   refused_stream,  // RST_STREAM(REFUSED_STREAM): not processed (RFC 9113 section 8.7)
   goaway,          // GOAWAY with a lower last stream: not processed (RFC 9113 section 6.8)
-  unsent,          // the connection went while all of the call was still here
-  reset            // RST_STREAM with another code, a violation, or the connection went
+  unsent,          // the connection was lost before any byte of the call was sent
+  reset            // RST_STREAM with another code, a protocol violation, or the connection was lost
 };
 
-// The outcome of a final response. `wall` is the time of day in seconds since 1970, for Retry-After dates.
+// The outcome of a final response. `wall_clock` is the time of day in seconds since 1970, for Retry-After
+// dates.
 relay::Ending ending_of_response(const http2::Headers& headers, const config::KindWire& kind,
-                                 std::int64_t wall);
+                                 std::int64_t wall_clock);
+// The outcome of a call that got no final response. `why` is the reason for traces and answers; where an RFC
+// name says it, that is used instead.
 relay::Ending ending_of_break(Break how, http2::ErrorCode code, const std::string& why);
 
-// RFC 9110 section 10.2.3: seconds, or a date, counted from the answer's Date where it has one. In us; 0
-// where there is none or it makes no sense. At most a day is believed.
-Time parse_retry_after(std::string_view value, std::string_view date, std::int64_t wall);
-// RFC 9110 section 5.6.7, in all three forms. Seconds since 1970.
+// Retry-After (RFC 9110 section 10.2.3): seconds, or a date, counted from the response's Date if it has one.
+// In us; 0 if there is none or it can't be parsed. Limited to one day.
+Time parse_retry_after(std::string_view value, std::string_view date, std::int64_t wall_clock);
+// An HTTP date (RFC 9110 section 5.6.7) in any of its three forms. Seconds since 1970.
 std::optional<std::int64_t> parse_http_date(std::string_view text);
 
+// What a problem response says (RFC 9457).
 struct Problem {
   int status = 400;
   std::string title, detail;
 };
 
-// A push request's own part, before names are looked up.
+// Names in the path of a push request, before they are looked up.
 struct PushTarget {
   std::string destination, message_class;
 };
-// "/push/<destination>/<class>", percent-decoded; nothing where the path is another one.
+// "/push/<destination>/<class>", percent-decoded; nothing for any other path.
 std::optional<PushTarget> parse_target(std::string_view path);
-// RFC 8030 section 5.2: whole seconds. In us, at most 10 years.
+// The TTL field (RFC 8030 section 5.2) in whole seconds. Returned in us, limited to 10 years.
 std::optional<Time> parse_ttl(std::string_view text);
 
-// Problem details (RFC 9457).
+// JSON body of problem details (RFC 9457). With an empty `message`, the members about the message are left
+// out.
 std::string problem_body(const Problem& problem, const std::string& message, const std::string& message_class,
                          const std::string& last_outcome, int attempts);
 
-// What became of a message, as JSON: message, class, answer (null while it is held), attempts, last_outcome.
+// JSON body of a message resource: message, class, answer (null while the message is held), attempts,
+// last_outcome, and retry_after where a refused message was given one.
 std::string message_body(const std::string& message, const relay::Book::Entry& entry);
-// RFC 7240: whether a Prefer field has this preference.
+// Whether a Prefer field (RFC 7240) has this preference; `name` is in lower case.
 bool has_preference(std::string_view prefer, std::string_view name);
 
-// Retry-After in whole seconds, rounded up, so that nobody comes too soon.
-std::string retry_after(Time come_back);
+// The value of Retry-After for a wait in us: whole seconds, rounded up so that clients don't retry too early.
+std::string retry_after(Time wait);
 
 }  // namespace cedarplank::gateway
