--- a/src/gateway/front.hpp
+++ b/src/gateway/front.hpp
@@ -75,8 +75,9 @@
     // nothing waits to be sent, every check counts as progress.
     std::uint64_t flushed_seen = 0;
     Time progress_at = 0;
-    bool paused = false;   // nothing is read from it: too many bytes of answers wait to be sent
-    bool closing = false;  // the connection failed; it closes once its output is sent
+    // paused: nothing is read from it, because too many bytes of answers wait to be sent. closing: the
+    // connection failed and closes once its output is sent.
+    bool paused = false, closing = false;
     explicit Client(const http2::LocalSettings& local) : h2(http2::Role::server, local) {}
   };
   using ClientId = std::uint64_t;
--- a/src/http2/connection.cpp
+++ b/src/http2/connection.cpp
@@ -6,8 +6,9 @@
 namespace cedarplank::http2 {
 namespace {
 
-constexpr std::size_t kResetsRemembered = 1024;
-constexpr std::uint64_t kUnwantedMost = 64 * 1024;  // bytes of a body that still come after the answer
+constexpr std::size_t kMaxRememberedResets = 1024;  // streams
+// Bytes of a request's body that are received and ignored after the response; beyond it the stream is reset.
+constexpr std::uint64_t kMaxIgnoredBodyBytes = 64 * 1024;
 
 // RFC 9113 section 8.2.1: no upper case, no control characters, no spaces, and a colon only in front.
 bool valid_name(std::string_view name) {
@@ -18,6 +19,7 @@
   }
   return true;
 }
+// Section 8.2.1: no NUL, CR or LF, and no blank at either end.
 bool valid_value(std::string_view value) {
   const auto blank = [](char c) { return c == ' ' || c == '\t'; };
   if (!value.empty() && (blank(value.front()) || blank(value.back()))) return false;
@@ -85,7 +87,7 @@
 }
 
 bool Connection::connection_error(ErrorCode code, const std::string& why) {
-  // Section 5.4.1: GOAWAY with the last stream that was taken, then the connection is closed.
+  // Section 5.4.1: GOAWAY with the last stream that was processed, then the connection is closed.
   if (failed_) return false;
   failed_ = true;
   put_goaway(std::min(last_peer_stream_, goaway_last_sent_), code, why.substr(0, 200), out_);
@@ -98,14 +100,14 @@
 void Connection::forget_reset(StreamId id) {
   if (!reset_recently_.insert(id).second) return;
   reset_order_.push_back(id);
-  if (reset_order_.size() > kResetsRemembered) {
+  if (reset_order_.size() > kMaxRememberedResets) {
     reset_recently_.erase(reset_order_.front());
     reset_order_.pop_front();
   }
 }
 
 void Connection::stream_error(StreamId id, ErrorCode code, const char* why) {
-  // Section 5.4.2.
+  // Section 5.4.2: RST_STREAM; the connection goes on.
   put_rst_stream(id, code, out_);
   forget_reset(id);
   const auto it = streams_.find(id);
@@ -140,7 +142,7 @@
   in_.append(bytes);
   std::size_t at = 0;
   if (role_ == Role::server && !preface_seen_) {
-    // Section 3.4: an invalid preface is a connection error PROTOCOL_ERROR; told at the first wrong byte.
+    // Section 3.4: an invalid preface is a connection error PROTOCOL_ERROR, reported at the first wrong byte.
     const std::size_t n = std::min(in_.size(), kPreface.size());
     if (std::string_view(in_).substr(0, n) != kPreface.substr(0, n)) {
       connection_error(ErrorCode::protocol_error, "no HTTP/2 preface (section 3.4)");
@@ -183,7 +185,7 @@
     case FrameType::headers:
       return on_headers(h, payload);
     case FrameType::priority:
-      // Section 6.3; deprecated, so only its form is checked.
+      // Section 6.3. Priorities are deprecated, so only the frame's form is checked.
       if (h.stream == 0)
         return connection_error(ErrorCode::protocol_error, "PRIORITY on stream 0 (section 6.3)");
       if (h.length != 5) {
@@ -197,7 +199,7 @@
     case FrameType::settings:
       return on_settings(h, payload);
     case FrameType::push_promise:
-      // Section 8.4: a client can't push, and this client has switched push off.
+      // Section 8.4: a client can't push, and as a client this side has disabled push.
       return connection_error(ErrorCode::protocol_error, "PUSH_PROMISE though push is off (section 8.4)");
     case FrameType::ping:
       return on_ping(h, payload);
@@ -227,7 +229,7 @@
   if (h.stream == 0) return connection_error(ErrorCode::protocol_error, "DATA on stream 0 (section 6.1)");
   if (idle_stream(h.stream))
     return connection_error(ErrorCode::protocol_error, "DATA on an idle stream (section 5.1)");
-  // Section 6.9.1: the whole frame counts for both windows, padding included, even on closed streams.
+  // Section 6.9.1: the whole frame counts against both windows, padding included, even on closed streams.
   if (static_cast<std::int64_t>(h.length) > receive_window_)
     return connection_error(ErrorCode::flow_control_error,
                             "DATA beyond the connection's window (section 6.9.1)");
@@ -240,7 +242,8 @@
   if (payload.empty() && !h.has(flag::end_stream) && !control_frame()) return false;
   const auto it = streams_.find(h.stream);
   if (it == streams_.end()) {
-    // Section 5.1, closed: frames that cross a RST_STREAM or lie above a GOAWAY are ignored.
+    // Section 5.1, closed: frames that cross a RST_STREAM are ignored, as are those on streams above a
+    // GOAWAY's last stream.
     if (reset_recently_.count(h.stream) || (!mine(h.stream) && h.stream > goaway_last_sent_)) return true;
     put_rst_stream(h.stream, ErrorCode::stream_closed, out_);
     forget_reset(h.stream);
@@ -262,16 +265,16 @@
   s.receive_window -= h.length, s.unacked += h.length;
   s.received += payload.size();
   const bool end = h.has(flag::end_stream);
-  if (!mine(h.stream) && s.local_ended && !end && s.received > s.answered_at + kUnwantedMost) {
-    // Section 8.1: the client is asked to stop. Not at once with the answer: widely used clients then drop
-    // the answer that came with it (curl 7.88 did with one in twenty).
+  if (!mine(h.stream) && s.local_ended && !end && s.received > s.answered_at + kMaxIgnoredBodyBytes) {
+    // Section 8.1: RST_STREAM(NO_ERROR) asks the client to stop sending. It isn't sent together with the
+    // response, because widely used clients then drop the response (curl 7.88 dropped one in twenty).
     put_rst_stream(h.stream, ErrorCode::no_error, out_);
     forget_reset(h.stream);
     s.remote_ended = true;
     drop_if_done(h.stream);
     return true;
   }
-  // Section 8.1.1: a content-length that the DATA don't sum up to makes the message malformed.
+  // Section 8.1.1: a message is malformed if its DATA doesn't add up to its content-length.
   if (s.content_length && (s.received > *s.content_length || (end && s.received != *s.content_length)) &&
       !s.head_request) {
     stream_error(h.stream, ErrorCode::protocol_error, "content-length is not kept (section 8.1.1)");
@@ -292,7 +295,7 @@
 void Connection::end_remote(StreamId id, Stream& s) {
   s.remote_ended = true;
   if (role_ == Role::client && !s.local_ended && s.body_at < s.body.size()) {
-    // Section 8.1: a whole response before the end of the request; the rest of the body is not wanted.
+    // Section 8.1: the response is complete before the request is; the rest of the request's body isn't sent.
     put_rst_stream(id, ErrorCode::cancel, out_);
     forget_reset(id);
     s.local_ended = true;
@@ -324,7 +327,7 @@
 bool Connection::on_continuation(const FrameHeader& h, std::string_view payload) {
   if (block_stream_ == 0)
     return connection_error(ErrorCode::protocol_error, "CONTINUATION without HEADERS (section 6.10)");
-  // Section 10.5: a header block without end is an attack; its size and its frames are bounded.
+  // Section 10.5: a header block without end is an attack, so its size and its number of frames are bounded.
   if (++continuations_ > limits_.continuations)
     return connection_error(ErrorCode::enhance_your_calm, "too many CONTINUATION frames (section 10.5)");
   if (block_.size() + payload.size() >
@@ -339,7 +342,7 @@
   const StreamId id = block_stream_;
   block_stream_ = 0;
   Headers headers;
-  // Decoded whatever becomes of it: the table is shared by all streams (section 4.3).
+  // Decoded even if the stream is then refused or ignored: all streams share the table (section 4.3).
   const auto result = decoder_.decode(block_, local_.max_header_list_size, headers);
   block_.clear();
   if (result == HpackDecoder::Result::error)
@@ -349,19 +352,20 @@
   if (it == streams_.end()) {
     if (mine(id) || id <= last_peer_stream_) {
       if (reset_recently_.count(id)) return true;
-      // Section 5.1, closed.
+      // Section 5.1: the stream is closed, and not by a recent reset of this side.
       return connection_error(ErrorCode::stream_closed, "HEADERS on a closed stream (section 5.1)");
     }
     if (id % 2 == 0)
       return connection_error(ErrorCode::protocol_error, "an even stream by a client (section 5.1.1)");
-    if (goaway_sent_ && id > goaway_last_sent_) {  // section 6.8: dropped, the peer knows it was not taken
+    // Section 6.8: ignored; the GOAWAY told the peer that it isn't processed.
+    if (goaway_sent_ && id > goaway_last_sent_) {
       last_peer_stream_ = id;
       forget_reset(id);
       return true;
     }
     last_peer_stream_ = id;
     if (peer_streams_ >= streams_allowed_) {
-      // Section 5.1.2: refused, which proves to the peer that it was not processed.
+      // Section 5.1.2: REFUSED_STREAM tells the peer that the request was not processed.
       stream_error(id, ErrorCode::refused_stream, "beyond SETTINGS_MAX_CONCURRENT_STREAMS");
       if (!resets_.take(now_, limits_.resets_burst, limits_.resets_per_s))
         return connection_error(ErrorCode::enhance_your_calm, "too many streams refused (section 10.5)");
@@ -369,7 +373,7 @@
     }
     Stream s;
     s.send_window = peer_initial_window_;
-    // Until it has acknowledged our SETTINGS the peer may still count from the default (section 6.9.3).
+    // Until the peer has acknowledged our SETTINGS, it may still use the default window (section 6.9.3).
     s.receive_window =
         local_acked_ ? local_.initial_window_size : std::max(65'535u, local_.initial_window_size);
     it = streams_.emplace(id, std::move(s)).first;
@@ -399,7 +403,7 @@
   }
   if (role_ == Role::client && !trailers) {
     const auto status = find_header(headers, ":status");
-    if (status[0] == '1') {  // interim (section 8.1)
+    if (status[0] == '1') {  // interim response (section 8.1)
       if (block_ends_stream_)
         stream_error(id, ErrorCode::protocol_error, "an interim response with END_STREAM (section 8.1)");
       return control_frame();
@@ -428,7 +432,7 @@
   return true;
 }
 
-// Sections 8.2 and 8.3. Null where the field section is well formed.
+// Checks sections 8.2 and 8.3.
 const char* Connection::malformed(const Headers& headers, bool trailers, Stream&) const {
   bool regular = false;
   int method = 0, scheme = 0, path = 0, authority = 0, status = 0;
@@ -454,7 +458,7 @@
       continue;
     }
     regular = true;
-    // Section 8.2.2: fields that belong to one connection don't exist in HTTP/2.
+    // Section 8.2.2: connection-specific fields are not allowed in HTTP/2.
     if (h.name == "connection" || h.name == "proxy-connection" || h.name == "keep-alive" ||
         h.name == "transfer-encoding" || h.name == "upgrade")
       return "a connection-specific field (section 8.2.2)";
@@ -470,10 +474,11 @@
       return ":scheme and :path must be there once (section 8.3.1)";
     return nullptr;
   }
-  const bool three = status_value.size() == 3 && std::all_of(status_value.begin(), status_value.end(),
-                                                             [](char c) { return c >= '0' && c <= '9'; });
-  return status == 1 && three && status_value[0] != '0' ? nullptr
-                                                        : ":status must be there once (section 8.3.2)";
+  const bool three_digits =
+      status_value.size() == 3 &&
+      std::all_of(status_value.begin(), status_value.end(), [](char c) { return c >= '0' && c <= '9'; });
+  return status == 1 && three_digits && status_value[0] != '0' ? nullptr
+                                                               : ":status must be there once (section 8.3.2)";
 }
 
 bool Connection::on_rst_stream(const FrameHeader& h, std::string_view payload) {
@@ -531,7 +536,7 @@
         if (value > kMaxWindow)
           return connection_error(ErrorCode::flow_control_error,
                                   "SETTINGS_INITIAL_WINDOW_SIZE is too large (section 6.5.2)");
-        // Section 6.9.2: all streams move by the difference, below zero too.
+        // Section 6.9.2: the windows of all streams change by the difference, and may become negative.
         const std::int64_t change = static_cast<std::int64_t>(value) - peer_initial_window_;
         peer_initial_window_ = value;
         for (auto& [id, s] : streams_) {
@@ -549,7 +554,7 @@
         peer_max_frame_ = value;
         break;
       case Setting::max_header_list_size:
-        break;  // advisory; what this side sends is far below what any peer must take
+        break;  // advisory; what this side sends is far below what any peer must accept
     }           // section 6.5.2: unknown settings are ignored
   }
   put_frame(FrameType::settings, flag::ack, 0, {}, out_);
@@ -621,7 +626,7 @@
   if (idle_stream(h.stream))
     return connection_error(ErrorCode::protocol_error, "WINDOW_UPDATE on an idle stream (section 5.1)");
   const auto it = streams_.find(h.stream);
-  if (it == streams_.end()) return control_frame();  // section 6.9: may cross the end of the stream
+  if (it == streams_.end()) return control_frame();  // section 6.9: may cross the stream's end
   if (increment == 0) {
     stream_error(h.stream, ErrorCode::protocol_error, "WINDOW_UPDATE of 0 (section 6.9)");
     return true;
@@ -633,7 +638,7 @@
                  "a stream's window grows too large (section 6.9.1)");
     return true;
   }
-  // An update that lets nothing go is cheap to send in floods.
+  // An update on a stream without a waiting body has no effect, so it counts against the limit on floods.
   if (s.body_at >= s.body.size()) return control_frame();
   send_pending();
   return true;
@@ -655,13 +660,13 @@
 
 void Connection::send_body(StreamId id, Stream& s) {
   while (s.body_at < s.body.size()) {
-    const std::int64_t room =
+    const std::int64_t sendable =
         std::min({send_window_, s.send_window, static_cast<std::int64_t>(peer_max_frame_)});
-    if (room <= 0) {
+    if (sendable <= 0) {
       pending_.insert(id);
       return;
     }
-    const std::size_t n = std::min(static_cast<std::size_t>(room), s.body.size() - s.body_at);
+    const std::size_t n = std::min(static_cast<std::size_t>(sendable), s.body.size() - s.body_at);
     const bool end = s.body_at + n == s.body.size();
     put_frame(FrameType::data, end ? flag::end_stream : 0, id, std::string_view(s.body).substr(s.body_at, n),
               out_);
@@ -674,10 +679,10 @@
 }
 
 void Connection::send_pending() {
-  // Round robin over the streams that wait, from the one after the last served.
-  std::vector<StreamId> turn(pending_.upper_bound(last_served_pending_), pending_.end());
-  turn.insert(turn.end(), pending_.begin(), pending_.upper_bound(last_served_pending_));
-  for (const StreamId id : turn) {
+  // Round robin over the streams that wait for a window, beginning after the one served last.
+  std::vector<StreamId> order(pending_.upper_bound(last_served_pending_), pending_.end());
+  order.insert(order.end(), pending_.begin(), pending_.upper_bound(last_served_pending_));
+  for (const StreamId id : order) {
     if (send_window_ <= 0) return;
     const auto it = streams_.find(id);
     if (it == streams_.end()) {
@@ -718,8 +723,7 @@
   write_headers(id, headers, body.empty());
   it->second.body.assign(body), unsent_body_ += body.size();
   send_body(id, it->second);
-  // Answered before the whole request came: the rest is let come and thrown away, up to a bound (see
-  // on_data()).
+  // If the request isn't complete yet, the rest of it is received and ignored, up to a limit: see on_data().
   drop_if_done(id);
   return true;
 }
@@ -737,12 +741,13 @@
   if (!failed_ && eight_bytes.size() == 8) put_frame(FrameType::ping, 0, 0, eight_bytes, out_);
 }
 
-void Connection::limit_streams(std::uint32_t most) {
-  // A peer that acknowledges nothing must not make this side collect what it was told.
-  if (failed_ || role_ == Role::client || most == streams_announced_ || streams_unacked_.size() >= 8) return;
-  put_settings({{Setting::max_concurrent_streams, most}}, out_);
-  streams_announced_ = most;
-  streams_unacked_.push_back(most);
+void Connection::limit_streams(std::uint32_t max_streams) {
+  // Bounded, since a peer that acknowledges nothing would let the list of announced limits grow for ever.
+  if (failed_ || role_ == Role::client || max_streams == streams_announced_ || streams_unacked_.size() >= 8)
+    return;
+  put_settings({{Setting::max_concurrent_streams, max_streams}}, out_);
+  streams_announced_ = max_streams;
+  streams_unacked_.push_back(max_streams);
 }
 
 void Connection::announce_shutdown() {
--- a/src/http2/connection.hpp
+++ b/src/http2/connection.hpp
@@ -1,7 +1,9 @@
-// One HTTP/2 connection (RFC 9113), client or server, free of I/O: bytes in, events out; calls in, bytes out.
+// One HTTP/2 connection (RFC 9113), client or server, without I/O: the caller passes received bytes in and
+// gets events, and takes out the bytes to be sent.
 //
-// Every check cites its section in connection.cpp. A violation ends the stream or the connection with the
-// RFC's error code; receive() never throws. What a peer can make this side hold or do is bounded by Limits.
+// Each check in connection.cpp cites its section of the RFC; the texts of connection errors go to the
+// peer in GOAWAY. A violation ends the stream or the connection with the RFC's error code; receive() never
+// throws. Limits bounds the memory and work that a peer can cause on this side.
 #pragma once
 
 #include <cstdint>
@@ -22,39 +24,42 @@
 
 enum class Role { client, server };
 
-// What this side announces (section 6.5.2).
+// The settings that this side announces (section 6.5.2), and its connection window.
 struct LocalSettings {
   std::uint32_t header_table_size = 4096;
-  std::uint32_t max_concurrent_streams = 256;  // that the peer may open
+  std::uint32_t max_concurrent_streams = 256;  // streams that the peer may have open
   std::uint32_t initial_window_size = 65'535;
   std::uint32_t max_frame_size = 16'384;
   std::uint32_t max_header_list_size = 16'384;
-  std::uint32_t connection_window = 1 << 20;  // bytes that the peer may have on the way on all streams
+  std::uint32_t connection_window = 1 << 20;  // bytes of DATA that the peer may have in flight on all streams
 };
 
-// Against floods: what a peer may do in one go, and how much of it a second for ever.
+// Limits against floods (section 10.5). Each pair of burst and rate is a token bucket: so many at once, and
+// so many a second in the long run.
 struct Limits {
-  double resets_burst = 400,
-         resets_per_s = 100;  // RST_STREAM by the peer (rapid reset), and its refused streams
-  double control_burst = 1000,
-         control_per_s = 200;             // SETTINGS, PING, PRIORITY, unknown and empty DATA frames
-  std::uint32_t settings_entries = 64;    // in one SETTINGS frame
-  std::uint32_t continuations = 16;       // of one header block
-  std::size_t unsent_replies = 1000;      // acknowledgements that the peer doesn't read
+  // RST_STREAM frames from the peer (rapid reset), and streams of the peer that were refused.
+  double resets_burst = 400, resets_per_s = 100;
+  // Frames that carry no part of a request or final response: SETTINGS, PING, PRIORITY, unknown types, empty
+  // DATA, interim responses, WINDOW_UPDATE without effect, frames on closed streams.
+  double control_burst = 1000, control_per_s = 200;
+  std::uint32_t settings_entries = 64;    // entries in one SETTINGS frame
+  std::uint32_t continuations = 16;       // CONTINUATION frames of one header block
+  std::size_t unsent_replies = 1000;      // acknowledgements written since the output was last taken
   std::size_t trailers_and_interim = 16;  // header blocks on one stream
 };
 
+// What receive() reports.
 struct Event {
   enum class Type {
-    settings,     // the peer's first SETTINGS: the connection stands in the sense of section 3.4
+    settings,     // the peer's first SETTINGS: the connection is established (section 3.4)
     headers,      // a request (server) or a final response (client)
-    data,         // bytes of its body; may be empty with end_stream
+    data,         // bytes of the body; may be empty with end_stream
     trailers,     // a field section after the body; always with end_stream
-    reset,        // the stream is over: by the peer, or here after a violation (`local`)
-    unprocessed,  // the peer's GOAWAY proves that it never took this stream (section 6.8)
-    goaway,       // the peer takes no new streams; `stream` is its last one
-    ping_ack,
-    failed  // connection error, by either side; nothing comes after it
+    reset,        // the stream was reset: by the peer, or by this side after a violation (`local`)
+    unprocessed,  // the peer's GOAWAY proves that it did not process this stream (section 6.8)
+    goaway,       // the peer accepts no new streams; `stream` is the last one that it processes
+    ping_ack,     // the peer acknowledged a PING
+    failed        // connection error found by this side; no event follows it
   };
   Type type{};
   StreamId stream = 0;
@@ -62,10 +67,11 @@
   bool local = false;
   ErrorCode code = ErrorCode::no_error;
   Headers headers;
-  std::string data;  // bytes of the body, ping's opaque bytes, or why it failed
+  // Bytes of the body, opaque bytes of PING, debug data of GOAWAY, or the reason of an error of this side.
+  std::string data;
 };
 
-// Value of the first field of that name; empty where there is none.
+// Value of the first field with that name; empty if there is none.
 std::string_view find_header(const Headers& headers, std::string_view name);
 bool has_header(const Headers& headers, std::string_view name);
 
@@ -73,51 +79,59 @@
  public:
   explicit Connection(Role role, const LocalSettings& local = {}, const Limits& limits = {});
 
-  // Bytes from the peer; `events` is appended to.
+  // Processes bytes from the peer; appends to `events`.
   void receive(Time now, std::string_view bytes, std::vector<Event>& events);
-  // Bytes for the peer since the last call.
+  // The bytes to be sent to the peer since the last call.
   std::string take_output();
   bool has_output() const { return !out_.empty(); }
   std::size_t output_size() const { return out_.size(); }
 
-  // Client: opens a stream. 0 where none may be opened now: see can_request().
+  // Client: opens a stream. Returns 0 if none may be opened now; see can_request().
   StreamId request(const Headers& headers, std::string_view body);
   bool can_request() const;
-  // Server: answers. False where the stream is no longer there.
+  // Server: sends the response of a stream. False if the stream is closed or has a response already.
   bool respond(StreamId stream, const Headers& headers, std::string_view body);
-  // Ends a stream from this side; nothing is reported for it afterwards.
+  // Resets a stream from this side; no event is reported for it afterwards.
   void reset(StreamId stream, ErrorCode code);
   void ping(std::string_view eight_bytes);
-  // Server: from now on the peer may have so many streams open. Enforced once it has acknowledged
-  // (section 6.5.3); streams that are open already go on.
-  void limit_streams(std::uint32_t most);
-  // Graceful end (section 6.8): first announce, so that requests on their way are still taken; then goaway.
+  // Server: changes how many streams the peer may have open. Enforced once the peer has acknowledged it
+  // (section 6.5.3); streams that are open already are not affected.
+  void limit_streams(std::uint32_t max_streams);
+  // Graceful shutdown (section 6.8): first announce_shutdown(), so that requests in flight are still
+  // processed; then goaway().
   void announce_shutdown();
   void goaway(ErrorCode code = ErrorCode::no_error, std::string_view debug = {});
-  // Server: as goaway(), for a last stream of one's own choice; streams above it are dropped unseen.
+  // Server: as goaway(), with a given last stream; streams above it are dropped without processing.
   void goaway_after(StreamId last, ErrorCode code);
 
   bool failed() const { return failed_; }
+  // Whether the peer's SETTINGS were received and no connection error occurred.
   bool standing() const { return peer_settings_seen_ && !failed_; }
   bool peer_goaway() const { return goaway_received_; }
+  // No stream is open.
   bool idle() const { return streams_.empty(); }
+  // Number of open streams, of both sides.
   std::size_t streams() const { return streams_.size(); }
   std::uint32_t peer_max_streams() const { return peer_max_streams_; }
   bool settings_acknowledged() const { return local_acked_; }
-  std::size_t unsent_body() const { return unsent_body_; }  // bytes held back by the peer's windows
+  // Bytes of bodies that the peer's flow-control windows hold back.
+  std::size_t unsent_body() const { return unsent_body_; }
 
  private:
   struct Stream {
+    // unacked: bytes received that no WINDOW_UPDATE has given back yet.
     std::int64_t send_window = 0, receive_window = 0, unacked = 0;
     bool remote_ended = false, local_ended = false;  // half closed (section 5.1)
     bool headers_seen = false, trailers_seen = false;
-    bool head_request = false;
-    std::size_t blocks = 0;
+    bool head_request = false;  // the response may have a content-length without a body
+    std::size_t blocks = 0;     // header blocks received
     std::optional<std::uint64_t> content_length;
-    std::uint64_t received = 0, answered_at = 0;  // bytes of the body; those before the answer
-    std::string body;                             // not sent yet
+    // received: bytes of body received so far. answered_at: the same at the time of this side's response.
+    std::uint64_t received = 0, answered_at = 0;
+    std::string body;  // the body to send, from body_at on
     std::size_t body_at = 0;
   };
+  // Token bucket; starts full.
   struct Bucket {
     double tokens = 0;
     Time at = 0;
@@ -125,11 +139,16 @@
   };
   using Streams = std::map<StreamId, Stream>;
 
+  // Whether this side opens streams with such a number (section 5.1.1).
   bool mine(StreamId id) const { return (id % 2 == 1) == (role_ == Role::client); }
+  // Whether the stream was never opened (section 5.1).
   bool idle_stream(StreamId id) const;
-  bool connection_error(ErrorCode code, const std::string& why);  // always false
+  // Fails the connection. Always returns false, as the handlers below do when the connection has failed.
+  bool connection_error(ErrorCode code, const std::string& why);
   void stream_error(StreamId id, ErrorCode code, const char* why);
+  // Counts a frame against Limits::control_burst; a connection error if there are too many.
   bool control_frame();
+  // Handlers of received frames: false if the connection has failed.
   bool on_frame(const FrameHeader& h, std::string_view payload);
   bool on_data(const FrameHeader& h, std::string_view payload);
   bool on_headers(const FrameHeader& h, std::string_view payload);
@@ -140,12 +159,18 @@
   bool on_ping(const FrameHeader& h, std::string_view payload);
   bool on_goaway(const FrameHeader& h, std::string_view payload);
   bool on_window_update(const FrameHeader& h, std::string_view payload);
+  // Removes the padding from the payload.
   bool unpad(const FrameHeader& h, std::string_view& payload);
+  // Why a field section is malformed; null if it is well formed.
   const char* malformed(const Headers& headers, bool trailers, Stream& s) const;
+  // The peer has ended its side of the stream.
   void end_remote(StreamId id, Stream& s);
+  // Removes the stream if both sides have ended it.
   void drop_if_done(StreamId id);
+  // Remembers that this side reset or dropped the stream, so that late frames on it are ignored.
   void forget_reset(StreamId id);
   void write_headers(StreamId id, const Headers& headers, bool end_stream);
+  // Sends as much of the body as the windows allow; the rest waits in pending_.
   void send_body(StreamId id, Stream& s);
   void send_pending();
   Event& emit(Event::Type type, StreamId stream);
@@ -160,20 +185,23 @@
   HpackDecoder decoder_;
   HpackEncoder encoder_;
   Streams streams_;
-  std::deque<std::uint32_t> streams_unacked_;  // announced after the first SETTINGS
-  std::size_t peer_streams_ = 0;               // of streams_, those that the peer opened
+  // Stream limits announced by limit_streams() that the peer hasn't acknowledged yet.
+  std::deque<std::uint32_t> streams_unacked_;
+  std::size_t peer_streams_ = 0;  // number of streams_ that the peer opened
   StreamId next_stream_, last_peer_stream_ = 0;
-  std::uint32_t streams_announced_, streams_allowed_;  // to the peer; as it has acknowledged
-  std::set<StreamId> pending_;                         // streams with a body that waits for a window
-  StreamId last_served_pending_ = 0;                   // where the round robin goes on
+  std::uint32_t streams_announced_, streams_allowed_;  // the stream limit announced last; the one enforced
+  std::set<StreamId> pending_;                         // streams whose body waits for a window
+  StreamId last_served_pending_ = 0;                   // the round robin goes on after it
   std::size_t unsent_body_ = 0;
-  std::deque<StreamId> reset_order_;  // streams that this side reset of late: frames may still be on the way
+  // Streams that this side reset recently, oldest first: frames on them may still be in flight.
+  std::deque<StreamId> reset_order_;
   std::set<StreamId> reset_recently_;
   std::int64_t send_window_ = 65'535, receive_window_ = 65'535, unacked_ = 0;
   std::uint32_t peer_initial_window_ = 65'535, peer_max_frame_ = 16'384, peer_max_streams_ = 0xffffffff;
   bool goaway_received_ = false, goaway_sent_ = false;
   StreamId goaway_last_received_ = kMaxStream, goaway_last_sent_ = kMaxStream;
-  // The header block that is being put together; no other frame may come before its end (section 6.10).
+  // The header block that is being received (stream 0: none); no other frame may come before its end
+  // (section 6.10).
   StreamId block_stream_ = 0;
   std::string block_;
   bool block_ends_stream_ = false;
--- a/src/http2/frame.hpp
+++ b/src/http2/frame.hpp
@@ -1,4 +1,5 @@
-// Frames of HTTP/2 (RFC 9113 section 4.1 and 6): names, numbers, and the writing of each.
+// HTTP/2 frames (RFC 9113 sections 4.1 and 6): their types, flags and numbers, parsing of the frame header,
+// and functions that append frames to a buffer.
 #pragma once
 
 #include <cstdint>
@@ -24,11 +25,12 @@
   continuation = 9
 };
 
+// Frame flags; which of them apply depends on the frame's type.
 namespace flag {
 constexpr std::uint8_t end_stream = 0x1, ack = 0x1, end_headers = 0x4, padded = 0x8, priority = 0x20;
 }
 
-// RFC 9113 section 7.
+// Error codes of RFC 9113 section 7.
 enum class ErrorCode : std::uint32_t {
   no_error = 0,
   protocol_error = 1,
@@ -45,10 +47,11 @@
   inadequate_security = 12,
   http_1_1_required = 13
 };
+// The name in the RFC.
 const char* name_of(ErrorCode code);
 const char* name_of(FrameType type);
 
-// RFC 9113 section 6.5.2.
+// Settings of RFC 9113 section 6.5.2.
 enum class Setting : std::uint16_t {
   header_table_size = 1,
   enable_push = 2,
@@ -58,9 +61,10 @@
   max_header_list_size = 6
 };
 
-constexpr std::size_t kFrameHeader = 9;
+constexpr std::size_t kFrameHeader = 9;  // bytes
 constexpr std::uint32_t kMaxStream = 0x7fffffff;
 constexpr std::int64_t kMaxWindow = 0x7fffffff;
+// What a client sends first (section 3.4).
 constexpr std::string_view kPreface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
 struct FrameHeader {
@@ -71,6 +75,7 @@
   bool has(std::uint8_t f) const { return flags & f; }
 };
 
+// Integers in network byte order.
 inline std::uint32_t read_u32(std::string_view b, std::size_t at) {
   const auto u = [&](std::size_t i) {
     return static_cast<std::uint32_t>(static_cast<unsigned char>(b[at + i]));
@@ -85,8 +90,9 @@
   for (int shift = 24; shift >= 0; shift -= 8) out.push_back(static_cast<char>(v >> shift));
 }
 
-// `bytes` holds at least kFrameHeader bytes from `at` on.
+// `bytes` must hold at least kFrameHeader bytes from `at` on.
 FrameHeader parse_frame_header(std::string_view bytes, std::size_t at);
+// Each put_ function appends a frame to `out`.
 void put_frame(FrameType type, std::uint8_t flags, StreamId stream, std::string_view payload,
                std::string& out);
 void put_settings(const std::vector<std::pair<Setting, std::uint32_t>>& settings, std::string& out);
--- a/src/http2/hpack.cpp
+++ b/src/http2/hpack.cpp
@@ -8,9 +8,9 @@
 namespace cedarplank::http2 {
 namespace {
 
-constexpr std::size_t kMostTable = 4096;  // bytes of dynamic table that the encoder uses at most
+constexpr std::size_t kMaxEncoderTableBytes = 4096;
 
-// RFC 7541 appendix A.
+// Static table of RFC 7541 appendix A.
 struct StaticEntry {
   std::string_view name, value;
 };
@@ -76,7 +76,7 @@
                                                   {"via", ""},
                                                   {"www-authenticate", ""}}};
 
-// First place of each name in the static table; entries of one name stand together.
+// Position of the first entry of each name in the static table; entries with the same name are adjacent.
 const std::unordered_map<std::string_view, std::size_t>& static_names() {
   static const auto names = [] {
     std::unordered_map<std::string_view, std::size_t> m;
@@ -86,7 +86,8 @@
   return names;
 }
 
-// Fields whose values hardly repeat, or give away secrets by their compressed size: not put into the table.
+// False for fields whose values hardly repeat or whose compressed size could reveal a secret: these are not
+// put into the dynamic table.
 bool worth_indexing(std::string_view name) {
   return name != "content-length" && name != "date" && name != "idempotency-key" && name != "ttl" &&
          name != "topic" && name != "location" && name != "retry-after" && name != "etag";
@@ -95,23 +96,23 @@
 }  // namespace
 
 void encode_integer(std::uint64_t value, unsigned prefix, std::uint8_t first, std::string& out) {
-  const std::uint64_t most = (1u << prefix) - 1;
-  if (value < most) {
+  const std::uint64_t prefix_max = (1u << prefix) - 1;
+  if (value < prefix_max) {
     out.push_back(static_cast<char>(first | value));
     return;
   }
-  out.push_back(static_cast<char>(first | most));
-  for (value -= most; value >= 128; value >>= 7) out.push_back(static_cast<char>(value % 128 + 128));
+  out.push_back(static_cast<char>(first | prefix_max));
+  for (value -= prefix_max; value >= 128; value >>= 7) out.push_back(static_cast<char>(value % 128 + 128));
   out.push_back(static_cast<char>(value));
 }
 
 bool decode_integer(std::string_view in, std::size_t& at, unsigned prefix, std::uint32_t& value) {
   if (at >= in.size()) return false;
-  const std::uint32_t most = (1u << prefix) - 1;
-  std::uint64_t v = static_cast<unsigned char>(in[at++]) & most;
-  if (v == most) {
+  const std::uint32_t prefix_max = (1u << prefix) - 1;
+  std::uint64_t v = static_cast<unsigned char>(in[at++]) & prefix_max;
+  if (v == prefix_max) {
     for (unsigned shift = 0;; shift += 7) {
-      if (at >= in.size() || shift > 28) return false;  // section 5.1: excessive lengths are errors
+      if (at >= in.size() || shift > 28) return false;  // section 5.1: too long an encoding is an error
       const auto byte = static_cast<unsigned char>(in[at++]);
       v += static_cast<std::uint64_t>(byte & 127) << shift;
       if (v > 0xffffffffu) return false;
@@ -122,8 +123,8 @@
   return true;
 }
 
-void DynamicTable::evict(std::size_t room) {
-  while (!entries_.empty() && size_ + room > capacity_) {
+void DynamicTable::evict(std::size_t needed) {
+  while (!entries_.empty() && size_ + needed > capacity_) {
     size_ -= entries_.back().name.size() + entries_.back().value.size() + kOverhead;
     entries_.pop_back();
   }
@@ -135,7 +136,7 @@
 void DynamicTable::add(std::string name, std::string value) {
   const std::size_t size = name.size() + value.size() + kOverhead;
   evict(size);
-  if (size > capacity_) return;  // section 4.4: empties the table, no error
+  if (size > capacity_) return;  // section 4.4: too large an entry empties the table; no error
   const auto hash = std::hash<std::string_view>()(name);
   entries_.push_front({std::move(name), std::move(value), hash});
   size_ += size;
@@ -163,7 +164,7 @@
                          Headers& out) {
   const auto first = static_cast<unsigned char>(block[at]);
   std::uint32_t index = 0;
-  // Section 6.1 (indexed), 6.2.1 (indexing), 6.2.2 (without) and 6.2.3 (never).
+  // Sections 6.1 (indexed), 6.2.1 (incremental indexing), 6.2.2 (without indexing), 6.2.3 (never indexed).
   const bool indexed = first & 0x80, indexing = (first & 0xc0) == 0x40, never = (first & 0xf0) == 0x10;
   if (!decode_integer(block, at, indexed ? 7 : indexing ? 6 : 4, index))
     return fail("an index is cut off or too large");
@@ -188,7 +189,7 @@
     value = own_value;
   }
   list += name.size() + value.size() + DynamicTable::kOverhead;
-  // Beyond the limit nothing more is kept: a small block must not unfold into a large list.
+  // Fields beyond the limit are not kept, since a small block could expand into a very large list.
   if (list <= max_list) out.push_back({std::string(name), std::string(value), never});
   if (indexing) table_.add(std::string(name), std::string(value));
   return true;
@@ -200,7 +201,7 @@
   while (at < block.size()) {
     const auto first = static_cast<unsigned char>(block[at]);
     if ((first & 0xe0) == 0x20) {
-      // Section 4.2: size updates stand at the beginning of a block, and keep to the limit.
+      // Section 4.2: size updates are allowed only at the beginning of a block, and only up to the limit.
       std::uint32_t size = 0;
       if (!updates_allowed) return fail("a table size update stands after a field"), Result::error;
       if (!decode_integer(block, at, 5, size) || size > limit_)
@@ -217,18 +218,18 @@
 }
 
 void HpackEncoder::set_limit(std::size_t limit) {
-  const std::size_t capacity = std::min(limit, kMostTable);
+  const std::size_t capacity = std::min(limit, kMaxEncoderTableBytes);
   if (capacity == table_.capacity() && !update_due_) return;
-  // Section 4.2: the least size passed through on the way has to be told too.
+  // Section 4.2: if the size changed several times, the smallest one must be signalled too.
   least_update_ = update_due_ ? std::min(least_update_, capacity) : capacity;
   update_due_ = true;
   table_.set_capacity(capacity);
 }
 
 void HpackEncoder::literal(std::string_view text, std::string& out) {
-  const std::size_t coded = huffman_length(text);
-  if (coded < text.size()) {
-    encode_integer(coded, 7, 0x80, out);
+  const std::size_t huffman_size = huffman_length(text);
+  if (huffman_size < text.size()) {
+    encode_integer(huffman_size, 7, 0x80, out);
     huffman_encode(text, out);
   } else {
     encode_integer(text.size(), 7, 0, out);
@@ -243,38 +244,39 @@
     update_due_ = false;
   }
   for (const auto& h : headers) {
-    std::size_t whole = 0, name_at = 0;
+    // Indexes of an entry with the same name and value, and of one with the same name; 0 if there is none.
+    std::size_t field_index = 0, name_index = 0;
     const auto it = static_names().find(h.name);
     if (it != static_names().end()) {
-      name_at = it->second + 1;
+      name_index = it->second + 1;
       for (std::size_t i = it->second; i < kStatic.size() && kStatic[i].name == h.name; i++)
         if (kStatic[i].value == h.value) {
-          whole = i + 1;
+          field_index = i + 1;
           break;
         }
     }
     const bool index = !h.never_indexed && worth_indexing(h.name);
-    if (whole == 0 && (index || name_at == 0)) {
+    if (field_index == 0 && (index || name_index == 0)) {
       const auto hash = std::hash<std::string_view>()(h.name);
       for (std::size_t i = 0; i < table_.count(); i++) {
         const auto& e = table_.at(i);
         if (e.hash != hash || e.name != h.name) continue;
-        if (name_at == 0) name_at = kStatic.size() + 1 + i;
+        if (name_index == 0) name_index = kStatic.size() + 1 + i;
         if (e.value == h.value) {
-          whole = kStatic.size() + 1 + i;
+          field_index = kStatic.size() + 1 + i;
           break;
         }
       }
     }
-    if (whole != 0 && !h.never_indexed) {
-      encode_integer(whole, 7, 0x80, out);
+    if (field_index != 0 && !h.never_indexed) {
+      encode_integer(field_index, 7, 0x80, out);
       continue;
     }
     if (index)
-      encode_integer(name_at, 6, 0x40, out);
+      encode_integer(name_index, 6, 0x40, out);
     else
-      encode_integer(name_at, 4, h.never_indexed ? 0x10 : 0x00, out);
-    if (name_at == 0) literal(h.name, out);
+      encode_integer(name_index, 4, h.never_indexed ? 0x10 : 0x00, out);
+    if (name_index == 0) literal(h.name, out);
     literal(h.value, out);
     if (index) table_.add(h.name, h.value);
   }
--- a/src/http2/huffman.cpp
+++ b/src/http2/huffman.cpp
@@ -1,5 +1,6 @@
-// The Huffman code of RFC 7541 appendix B. It is canonical: within one length codes rise with the symbol, and
-// lengths follow each other, so that the lengths alone give all codes.
+// The Huffman code of RFC 7541 appendix B. It is canonical: codes of one length are consecutive in the order
+// of their symbols, and each length continues where the shorter one ended, so the code lengths alone
+// determine all codes.
 #include <array>
 
 #include "http2/hpack.hpp"
@@ -9,6 +10,7 @@
 
 constexpr unsigned kEos = 256, kSymbols = 257, kMaxBits = 30, kFastBits = 10;
 
+// Code length of each symbol in bits; the last one is EOS.
 constexpr std::array<std::uint8_t, kSymbols> kLengths = {
     13, 23, 28, 28, 28, 28, 28, 28, 28, 24, 30, 28, 28, 30, 28, 28,  // 0
     28, 28, 28, 28, 28, 28, 30, 28, 28, 28, 28, 28, 28, 28, 28, 28,  // 16
@@ -30,21 +32,23 @@
 
 struct Tables {
   std::array<std::uint32_t, kSymbols> codes{};
-  std::array<std::uint16_t, kSymbols> ordered{};                       // symbols by code
-  std::array<std::uint32_t, kMaxBits + 2> first{}, count{}, offset{};  // by length
-  std::array<std::uint16_t, 1u << kFastBits> fast{};                   // symbol << 4 | length, or 0
+  std::array<std::uint16_t, kSymbols> ordered{};  // symbols in the order of their codes
+  // By code length: the first code, the number of codes, and the first code's position in `ordered`.
+  std::array<std::uint32_t, kMaxBits + 2> first{}, count{}, offset{};
+  // By the next kFastBits bits: symbol << 4 | length, or 0 for longer codes.
+  std::array<std::uint16_t, 1u << kFastBits> fast{};
 };
 
 constexpr Tables make_tables() {
   Tables t;
   for (const auto length : kLengths) t.count[length]++;
-  std::uint32_t code = 0, place = 0;
+  std::uint32_t code = 0, position = 0;
   for (unsigned length = 1; length <= kMaxBits; length++) {
     code <<= 1;
-    t.first[length] = code, t.offset[length] = place;
+    t.first[length] = code, t.offset[length] = position;
     for (unsigned symbol = 0; symbol < kSymbols; symbol++) {
       if (kLengths[symbol] != length) continue;
-      t.ordered[place++] = static_cast<std::uint16_t>(symbol);
+      t.ordered[position++] = static_cast<std::uint16_t>(symbol);
       if (length <= kFastBits) {
         const std::uint32_t from = code << (kFastBits - length);
         for (std::uint32_t i = 0; i < (1u << (kFastBits - length)); i++)
@@ -107,7 +111,7 @@
       break;
     }
     if (found) continue;
-    // What is left is padding: fewer than 8 bits, all ones (section 5.2).
+    // The remaining bits must be padding: fewer than 8 bits, all ones (section 5.2).
     const std::uint64_t ones = (std::uint64_t{1} << bits) - 1;
     return at == code.size() && bits < 8 && (buffer & ones) == ones;
   }
