--- a/src/gateway/front.cpp
+++ b/src/gateway/front.cpp
@@ -263,12 +263,12 @@
 // does), or gets the final answer that the message had. A message that was refused had no effect, so its
 // repeat is accepted as a new message.
 bool Front::known_already(Client& c, http2::StreamId stream, const Request& r) {
-  using What = relay::Book::Entry::What;
+  using State = relay::Book::Entry::What;
   const auto e = host_.book->find(r.tenant, r.destination, r.message_class, r.message);
-  if (e.what == What::unknown || e.what == What::refused) return false;
-  if (e.what == What::another) {
+  if (e.what == State::unknown || e.what == State::refused) return false;
+  if (e.what == State::another) {
     answer_problem(c, stream, {422, title_of(422), "another message was sent under this idempotency-key"});
-  } else if (e.what != What::held) {
+  } else if (e.what != State::held) {
     answer_entry(c, stream, e);
   } else if (const auto at = places_.find(e.id); at != places_.end()) {
     answer_problem(c, stream, {409, title_of(409), "the message of this idempotency-key is being delivered"},
@@ -295,7 +295,7 @@
   std::string_view path = http2::find_header(e.headers, ":path");
   if (path.substr(0, kPrefix.size()) != kPrefix) return false;
   path.remove_prefix(kPrefix.size());
-  using What = relay::Book::Entry::What;
+  using State = relay::Book::Entry::What;
   relay::Book::Entry found;
   const auto& name = settings_.name;
   if (path.size() > name.size() + 1 && path.size() < name.size() + 21 &&
@@ -309,10 +309,10 @@
       found.tenant != http2::find_header(e.headers, settings_.tenant_field.c_str()))
     found = {};
   const auto method = http2::find_header(e.headers, ":method");
-  if (found.what == What::unknown) {
+  if (found.what == State::unknown) {
     answer_problem(c, e.stream, {404, title_of(404), "no such message is held or remembered"});
   } else if (method == "DELETE") {
-    if (found.what == What::held)
+    if (found.what == State::held)
       // 410 for the request that waits for it.
       final_answer(found.id, {{":status", "410"}}), host_.withdraw(found.id);
     else
@@ -322,9 +322,9 @@
     answer_problem(c, e.stream, {405, title_of(405), "a message is asked for by GET and withdrawn by DELETE"},
                    {{"allow", "GET, DELETE"}});
   } else {
-    http2::Headers headers = {{":status", found.what == What::held ? "202" : "200"},
+    http2::Headers headers = {{":status", found.what == State::held ? "202" : "200"},
                               {"content-type", "application/json"}};
-    if (found.what == What::held) headers.push_back({"retry-after", "1"});
+    if (found.what == State::held) headers.push_back({"retry-after", "1"});
     answer(c, e.stream, std::move(headers), message_body(message_name(found.id), found));
   }
   return true;
--- a/src/gateway/front.hpp
+++ b/src/gateway/front.hpp
@@ -20,7 +20,7 @@
 
 namespace cedarplank::gateway {
 
-// The core reports final answers by the functions of relay::Answers.
+// The core reports the final answers of messages to it.
 class Front final : public relay::Answers {
  public:
   // What the server needs from the relay around it.
--- a/src/gateway/push_link.hpp
+++ b/src/gateway/push_link.hpp
@@ -15,7 +15,7 @@
 
 namespace cedarplank::gateway {
 
-// The HTTP/2 implementation of back::Link.
+// One connection to an endpoint, as the endpoint driver uses it.
 class PushLink final : public back::Link {
  public:
   // Opens the connection; another one can be set, for TLS with ALPN for example.
--- a/src/gateway/semantics.cpp
+++ b/src/gateway/semantics.cpp
@@ -166,7 +166,7 @@
 }
 
 std::string message_body(const std::string& message, const relay::Book::Entry& e) {
-  using What = relay::Book::Entry::What;
+  using State = relay::Book::Entry::What;
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
   const auto text = [&](const char* key, const std::string& value) {
@@ -175,13 +175,13 @@
   w.StartObject();
   text("message", message);
   text("class", e.message_class);
-  if (e.what == What::held)
+  if (e.what == State::held)
     w.Key("answer"), w.Null();
   else
-    text("answer", e.what == What::served ? "served" : e.what == What::refused ? "refused" : "failed");
+    text("answer", e.what == State::served ? "served" : e.what == State::refused ? "refused" : "failed");
   w.Key("attempts"), w.Int(e.account.attempts);
   if (!e.account.last.empty()) text("last_outcome", e.account.last);
-  if (e.what == What::refused && e.come_back > 0)
+  if (e.what == State::refused && e.come_back > 0)
     w.Key("retry_after"), w.Int64((e.come_back + 999'999) / 1'000'000);
   w.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
--- a/src/http2/connection.hpp
+++ b/src/http2/connection.hpp
@@ -119,17 +119,17 @@
 
  private:
   struct Stream {
-    // unacked: bytes received that no WINDOW_UPDATE has given back yet.
+    // The last one: bytes received that no WINDOW_UPDATE has given back to the peer yet.
     std::int64_t send_window = 0, receive_window = 0, unacked = 0;
     bool remote_ended = false, local_ended = false;  // half closed (section 5.1)
     bool headers_seen = false, trailers_seen = false;
     bool head_request = false;  // the response may have a content-length without a body
     std::size_t blocks = 0;     // header blocks received
     std::optional<std::uint64_t> content_length;
-    // received: bytes of body received so far. answered_at: the same at the time of this side's response.
+    // Bytes of body received so far, and those received before this side's response.
     std::uint64_t received = 0, answered_at = 0;
-    std::string body;  // the body to send, from body_at on
-    std::size_t body_at = 0;
+    std::string body;         // the body to send
+    std::size_t body_at = 0;  // bytes of it that are sent
   };
   // Token bucket; starts full.
   struct Bucket {
@@ -170,7 +170,7 @@
   // Remembers that this side reset or dropped the stream, so that late frames on it are ignored.
   void forget_reset(StreamId id);
   void write_headers(StreamId id, const Headers& headers, bool end_stream);
-  // Sends as much of the body as the windows allow; the rest waits in pending_.
+  // Sends as much of the body as the windows allow; the rest waits for WINDOW_UPDATE.
   void send_body(StreamId id, Stream& s);
   void send_pending();
   Event& emit(Event::Type type, StreamId stream);
--- a/src/http2/frame.hpp
+++ b/src/http2/frame.hpp
@@ -90,7 +90,7 @@
   for (int shift = 24; shift >= 0; shift -= 8) out.push_back(static_cast<char>(v >> shift));
 }
 
-// `bytes` must hold at least kFrameHeader bytes from `at` on.
+// `bytes` must hold a whole frame header from `at` on.
 FrameHeader parse_frame_header(std::string_view bytes, std::size_t at);
 // Each put_ function appends a frame to `out`.
 void put_frame(FrameType type, std::uint8_t flags, StreamId stream, std::string_view payload,
--- a/tests/conformance_test.cpp
+++ b/tests/conformance_test.cpp
@@ -1,10 +1,9 @@
-// One suite against all forms: the engine linked in, and the daemon through its HTTP/2 front and its SMPP
-// front; with push gateways and with message centres as partners. Same scripts, same seed, stand-ins as
-// peers; the same final answers, message for message.
+// Runs the same messages through the linked engine, the daemon's HTTP/2 server and the daemon's SMPP server,
+// with push gateways and with message centres as partners, and compares the final answers message by message.
+// All runs use the same scripts and seed, and simulated endpoints (stand-ins).
 //
-// Timing is kept from making them differ: every case has a destination of its own, whose stand-in answers by
-// the script of that message (its first, second, ... call), so that what the module sees does not depend on
-// when.
+// So that timing causes no differences, each case has its own destination, whose stand-in answers that
+// message's calls in the order of its script.
 #include <signal.h>
 
 #include <cstdlib>
@@ -20,8 +19,8 @@
 struct Case {
   std::string name, message_class, script, kind;
   Time ttl = 20 * kS;
-  bool by_exit = false;  // ended by the drain's deadline: attempts depend on time
-  std::string key = {}, topic = {}, destination = {};  // destination: another one than its own
+  bool by_exit = false;  // ended by the drain's deadline, so the number of attempts depends on time
+  std::string key = {}, topic = {}, destination = {};  // destination: instead of the case's own
   std::size_t body = 0;
 };
 
@@ -59,7 +58,7 @@
   all.push_back({"long key", "notice", "201", "plain", 20 * kS, false, std::string(300, 'k')});
   return all;
 }
-// Held when the drain's deadline comes.
+// Cases whose messages are still held at the drain's deadline.
 std::vector<Case> exit_cases() {
   std::vector<Case> all;
   for (const char* cls : {"status", "pay", "notice", "gate"})
@@ -68,18 +67,20 @@
   return all;
 }
 
+// The stand-ins for a list of cases, and the fields of each case's message.
 struct Prepared {
   Standins standins;
   const std::vector<Case>& list;
   explicit Prepared(const std::vector<Case>& l, bool centres = false) : standins(centres), list(l) {
     for (std::size_t i = 0; i < list.size(); i++) {
-      // Told to wait, so that no try is out when the drain's deadline comes: whether one was used to hang on
-      // the moment, and with it whether the message was refused or in doubt.
+      // A told wait keeps any attempt from being out at the drain's deadline. Whether one was out depended on
+      // timing before, and so did whether the message was refused or had an unknown effect.
       standins.tells_wait = list[i].by_exit && list[i].script == "429" ? 10 * kS : 0;
       standins.add(own(i), list[i].script, list[i].kind);
     }
     standins.start();
   }
+  // The case's own destination.
   static std::string own(std::size_t i) { return "c" + std::to_string(i); }
   std::string destination(std::size_t i) const {
     return list[i].destination.empty() ? own(i) : list[i].destination;
@@ -93,6 +94,7 @@
     const bool keyed = list[i].message_class == "notice" || list[i].message_class == "gate";
     return !list[i].key.empty() ? list[i].key : keyed ? "k" + std::to_string(i) : "";
   }
+  // Adds the effects that the stand-ins counted, and clears what isn't compared.
   void finish(std::vector<Result>& results) {
     for (std::size_t i = 0; i < list.size(); i++) {
       results[i].effects = standins.effects(own(i) + "/m" + std::to_string(i));
@@ -179,7 +181,7 @@
   return results;
 }
 
-// The daemon through its SMPP front: an answer is what submit_sm_resp or the receipt says.
+// The daemon through its SMPP server: the final answer is the one that submit_sm_resp or the receipt gives.
 std::vector<Result> by_smpp(const std::vector<Case>& list, Time drain_after, bool centres) {
   Prepared p(list, centres);
   loop::Loop loop;
@@ -211,7 +213,7 @@
     results[i].final = "rejected";
     try {
       sent[e.submit(std::move(m))] = i;
-    } catch (const std::invalid_argument&) {  // more than 64 KiB can't be said in SMPP
+    } catch (const std::invalid_argument&) {  // SMPP can't carry more than 64 KiB
       EXPECT_GT(list[i].body, 65'535u);
     }
   }
@@ -220,9 +222,9 @@
     rest(loop, drain_after);
     relay.signal(SIGTERM);
   }
-  std::size_t taken = 0;
-  for (const auto& [n, i] : sent) taken += e.status(n) == smpp::status::ok;
-  turn(loop, [&] { return e.receipts.size() == taken; });
+  std::size_t accepted = 0;
+  for (const auto& [n, i] : sent) accepted += e.status(n) == smpp::status::ok;
+  turn(loop, [&] { return e.receipts.size() == accepted; });
   for (const auto& [n, i] : sent) {
     if (e.status(n) != smpp::status::ok) continue;
     const int state = e.state(n);
@@ -236,25 +238,25 @@
   return results;
 }
 
-// Receipts tell no attempts, and statuses have other words.
+// Receipts don't carry the number of attempts, and their details are worded differently.
 std::vector<Result> only_final(std::vector<Result> results) {
   for (auto& r : results) r.attempts = -1, r.detail = "";
   return results;
 }
 
 std::size_t differences(const std::vector<Case>& list, const std::vector<Result>& a,
-                        const std::vector<Result>& b, bool tell) {
+                        const std::vector<Result>& b, bool report) {
   std::size_t n = 0;
   for (std::size_t i = 0; i < list.size(); i++) {
     if (a[i] == b[i]) continue;
     n++;
-    if (tell) ADD_FAILURE() << list[i].name << "\n  linked: " << a[i] << "\n  daemon: " << b[i];
+    if (report) ADD_FAILURE() << list[i].name << "\n  linked: " << a[i] << "\n  daemon: " << b[i];
   }
   return n;
 }
 
-// What the rules demand of either form, whatever the other says.
-void keep_the_rules(const std::vector<Case>& list, const std::vector<Result>& results) {
+// Checks that the results keep the rules, independently of the other runs.
+void check_rules(const std::vector<Case>& list, const std::vector<Result>& results) {
   for (std::size_t i = 0; i < list.size(); i++) {
     const auto& [c, r] = std::pair(list[i], results[i]);
     if (c.message_class == "pay") {
@@ -283,39 +285,39 @@
   const auto list = cases();
   EXPECT_GE(list.size(), 60u);
   const auto a = linked(list, 0), b = daemon(list, 0, kDaemon);
-  keep_the_rules(list, a), keep_the_rules(list, b);
+  check_rules(list, a), check_rules(list, b);
   EXPECT_EQ(differences(list, a, b, true), 0u);
 }
 
 TEST(Conformance, BothFormsEndWhatIsHeldInTheSameWay) {
   const auto list = exit_cases();
   const auto a = linked(list, 500 * kMs), b = daemon(list, 500 * kMs, kDaemon);
-  keep_the_rules(list, a), keep_the_rules(list, b);
+  check_rules(list, a), check_rules(list, b);
   EXPECT_EQ(differences(list, a, b, true), 0u);
 }
 
 TEST(Conformance, MessageCentresAndTheSmppFrontGiveTheSameFinalAnswers) {
   const auto list = cases();
   const auto http = linked(list, 0), centres = linked(list, 0, true);
-  keep_the_rules(list, centres);
+  check_rules(list, centres);
   EXPECT_EQ(differences(list, only_final(http), only_final(centres), true), 0u);
   for (std::size_t i = 0; i < list.size(); i++)
     EXPECT_EQ(http[i].attempts, centres[i].attempts) << list[i].name;
-  for (const bool back : {false, true}) {
-    const auto front = by_smpp(list, 0, back);
-    keep_the_rules(list, front);
-    EXPECT_EQ(differences(list, only_final(http), front, true), 0u) << "to centres: " << back;
+  for (const bool to_centres : {false, true}) {
+    const auto smpp_results = by_smpp(list, 0, to_centres);
+    check_rules(list, smpp_results);
+    EXPECT_EQ(differences(list, only_final(http), smpp_results, true), 0u) << "to centres: " << to_centres;
   }
 }
 
 TEST(Conformance, TheSmppFrontEndsWhatIsHeldInTheSameWay) {
   const auto list = exit_cases();
   const auto a = linked(list, 500 * kMs, true), b = by_smpp(list, 500 * kMs, true);
-  keep_the_rules(list, a), keep_the_rules(list, b);
+  check_rules(list, a), check_rules(list, b);
   EXPECT_EQ(differences(list, a, b, true), 0u);
 }
 
-// The suite can tell forms apart: a daemon that takes lost calls for unsent ones.
+// The comparison finds a daemon with a planted fault: it treats calls lost with their connection as unsent.
 TEST(Conformance, APlantedDifferenceShows) {
   setenv("CEDARPLANK_FAULT", "2", 1);
   const auto list = cases();
--- a/tests/http2_test.cpp
+++ b/tests/http2_test.cpp
@@ -1,4 +1,5 @@
-// HTTP/2 and HPACK without sockets: RFC vectors, violations, floods, flow control.
+// Tests of the HTTP/2 and HPACK code without sockets: the RFC's vectors, protocol violations, floods, flow
+// control.
 #include <gtest/gtest.h>
 
 #include "http2/connection.hpp"
@@ -60,7 +61,8 @@
   }
 }
 
-void play(HpackDecoder& d, const std::string& bytes, const Fields& fields, std::size_t table) {
+// Decodes the block and compares the fields and the size of the dynamic table.
+void expect_decoded(HpackDecoder& d, const std::string& bytes, const Fields& fields, std::size_t table) {
   Headers out;
   ASSERT_EQ(d.decode(hex(bytes), 65536, out), HpackDecoder::Result::ok) << d.error();
   EXPECT_EQ(out, headers_of(fields));
@@ -80,16 +82,16 @@
                        {"custom-key", "custom-value"}};
 TEST(Hpack, RequestsOfAppendixC3) {
   HpackDecoder d;
-  play(d, "828684410f7777772e6578616d706c652e636f6d", kFirst, 57);
-  play(d, "828684be58086e6f2d6361636865", kSecond, 110);
-  play(d, "828785bf400a637573746f6d2d6b65790c637573746f6d2d76616c7565", kThird, 164);
+  expect_decoded(d, "828684410f7777772e6578616d706c652e636f6d", kFirst, 57);
+  expect_decoded(d, "828684be58086e6f2d6361636865", kSecond, 110);
+  expect_decoded(d, "828785bf400a637573746f6d2d6b65790c637573746f6d2d76616c7565", kThird, 164);
 }
 TEST(Hpack, HuffmanRequestsOfAppendixC4) {
   HpackDecoder d;
-  play(d, "828684418cf1e3c2e5f23a6ba0ab90f4ff", kFirst, 57);
-  play(d, "828684be5886a8eb10649cbf", kSecond, 110);
-  play(d, "828785bf408825a849e95ba97d7f8925a849e95bb8e8b4bf", kThird, 164);
-  // Our encoder makes the same bytes.
+  expect_decoded(d, "828684418cf1e3c2e5f23a6ba0ab90f4ff", kFirst, 57);
+  expect_decoded(d, "828684be5886a8eb10649cbf", kSecond, 110);
+  expect_decoded(d, "828785bf408825a849e95ba97d7f8925a849e95bb8e8b4bf", kThird, 164);
+  // This encoder produces the same bytes.
   HpackEncoder e;
   std::string out;
   e.encode(headers_of(kFirst), out);
@@ -114,24 +116,25 @@
                          {"set-cookie", "foo=ASDJKHQKBZXOQWEOPIUAXQWEOIU; max-age=3600; version=1"}};
 TEST(Hpack, ResponsesWithEvictionOfAppendixC5AndC6) {
   HpackDecoder plain(256);
-  play(plain,
-       "4803333032580770726976617465611d4d6f6e2c203231204f637420323031332032303a31333a323120474d546e17687474"
-       "70733a2f2f7777772e6578616d706c652e636f6d",
-       kAnswer1, 222);
-  play(plain, "4803333037c1c0bf", kAnswer2, 222);
-  play(
+  expect_decoded(
+      plain,
+      "4803333032580770726976617465611d4d6f6e2c203231204f637420323031332032303a31333a323120474d546e17687474"
+      "70733a2f2f7777772e6578616d706c652e636f6d",
+      kAnswer1, 222);
+  expect_decoded(plain, "4803333037c1c0bf", kAnswer2, 222);
+  expect_decoded(
       plain,
       "88c1611d4d6f6e2c203231204f637420323031332032303a31333a323220474d54c05a04677a69707738666f6f3d4153444a4b"
       "48514b425a584f5157454f50495541585157454f49553b206d61782d6167653d333630303b2076657273696f6e3d31",
       kAnswer3, 215);
   HpackDecoder coded(256);
-  play(
+  expect_decoded(
       coded,
       "488264025885aec3771a4b6196d07abe941054d444a8200595040b8166e082a62d1bff6e919d29ad171863c78f0b97c8e9ae82"
       "ae43d3",
       kAnswer1, 222);
-  play(coded, "4883640effc1c0bf", kAnswer2, 222);
-  play(
+  expect_decoded(coded, "4883640effc1c0bf", kAnswer2, 222);
+  expect_decoded(
       coded,
       "88c16196d07abe941054d444a8200595040b8166e084a62d1bffc05a839bd9ab77ad94e7821dd7f2e6c7b335dfdfcd5b3960d5"
       "af27087f3672c1ab270fb5291f9587316065c003ed4ee5b1063d5007",
@@ -162,7 +165,7 @@
   Headers out;
   ASSERT_EQ(d.decode(block, 16384, out), HpackDecoder::Result::ok);
   out.clear();
-  // 10,000 references to a 3,000-byte field: 30 MB if it unfolded.
+  // 10,000 references to a 3,000-byte field: 30 MB if all were expanded.
   EXPECT_EQ(d.decode(std::string(10'000, '\xbe'), 16384, out), HpackDecoder::Result::too_large);
   EXPECT_LE(out.size(), 6u);
   out.clear();
@@ -178,24 +181,26 @@
   ASSERT_EQ(d.decode(block, 4096, out), HpackDecoder::Result::ok);
   d.set_limit(0);
   out.clear();
-  EXPECT_EQ(d.decode("\x82", 4096, out), HpackDecoder::Result::error);  // had to shrink first (4.2)
+  // Section 4.2: the block has to begin with a size update.
+  EXPECT_EQ(d.decode("\x82", 4096, out), HpackDecoder::Result::error);
   e.set_limit(0);
   e.set_limit(100);
   block.clear(), out.clear();
   e.encode({{"a", "b"}}, block);
   HpackDecoder fresh;
   EXPECT_EQ(fresh.decode(block, 4096, out), HpackDecoder::Result::ok);
-  EXPECT_EQ(block.substr(0, 2), hex("203f"));  // the least size, then the last
+  EXPECT_EQ(block.substr(0, 2), hex("203f"));  // the smallest size, then the last
 }
 
 // ---- Connections. ----
 using Type = Event::Type;
 
-// Two connections that talk to each other, and what each was told.
+// A client and a server connection that exchange their output, and the events of each.
 struct Pair {
   Connection client{Role::client}, server;
   std::vector<Event> at_client, at_server;
   explicit Pair(const LocalSettings& s = {}, const Limits& l = {}) : server(Role::server, s, l) {}
+  // Exchanges output until there is none, in pieces of at most that many bytes.
   void run(std::size_t piece = 1 << 20) {
     for (int i = 0; i < 100 && (client.has_output() || server.has_output()); i++) {
       feed(server, client.take_output(), at_server, piece);
@@ -234,7 +239,7 @@
   p.server.limit_streams(1);
   p.run();
   EXPECT_EQ(p.client.peer_max_streams(), 1u);
-  EXPECT_EQ(p.server.streams(), 3u);  // what is open goes on
+  EXPECT_EQ(p.server.streams(), 3u);  // open streams are not affected
   ASSERT_TRUE(p.server.respond(1, kCreated, "") && p.server.respond(3, kCreated, ""));
   p.run();
   EXPECT_FALSE(p.client.can_request());
@@ -242,7 +247,7 @@
   p.run();
   EXPECT_NE(p.client.request(kRequest, ""), 0u);
   EXPECT_FALSE(p.client.can_request());
-  // Sent before the lower limit was read: not refused.
+  // Requests sent before the client received the lower limit are not refused.
   p.server.limit_streams(3);
   p.run();
   p.client.request(kRequest, ""), p.client.request(kRequest, "");
@@ -252,7 +257,8 @@
   EXPECT_EQ(p.server.streams(), 3u);
 }
 
-// A client that reads a reset with the answer loses the answer: short bodies may come to their end.
+// A client that receives a reset together with the response may drop the response. So short request bodies
+// are received to their end, and only long ones are reset, later.
 TEST(Connection, AnAnswerBeforeTheWholeRequestAsksForAnEndOnlyOfLongBodies) {
   for (const std::size_t size : {std::size_t{1'000}, std::size_t{1} << 20}) {
     Pair p;
@@ -267,7 +273,7 @@
     EXPECT_EQ(count(p.at_client, Type::reset), 0u);
     p.server.receive(1, std::string_view(bytes).substr(headers), p.at_server);
     p.run();
-    EXPECT_EQ(count(p.at_client, Type::reset), 0u);  // its answer stands
+    EXPECT_EQ(count(p.at_client, Type::reset), 0u);  // the response remains valid
     EXPECT_EQ(body_of(p.at_server, id).size() < size, size > 64 * 1024);
     EXPECT_EQ(p.client.unsent_body(), 0u);
     EXPECT_EQ(p.client.streams() + p.server.streams(), 0u);
@@ -294,14 +300,14 @@
   p.run();
   const std::string large(300'000, 'x'), other(200'000, 'y');
   const auto a = p.client.request(kRequest, large), b = p.client.request(kRequest, other);
-  EXPECT_GT(p.client.unsent_body(), 300'000u);  // held back by the windows
+  EXPECT_GT(p.client.unsent_body(), 300'000u);  // held back by the flow-control windows
   p.run(1000);
   EXPECT_EQ(body_of(p.at_server, a), large);
   EXPECT_EQ(body_of(p.at_server, b), other);
   EXPECT_EQ(p.client.unsent_body(), 0u);
 }
 
-// A server that a raw byte string talks to.
+// A server connection whose input the test writes byte by byte.
 struct Raw {
   Connection server;
   std::vector<Event> events;
@@ -407,7 +413,7 @@
     Raw r;
     c.act(r);
     EXPECT_EQ(r.failure(), c.code) << c.what;
-    // The peer is told by GOAWAY with the same code.
+    // The peer gets a GOAWAY with the same code.
     const auto out = r.server.take_output();
     EXPECT_NE(out.find(u32(static_cast<std::uint32_t>(c.code))), std::string::npos) << c.what;
   }
@@ -431,13 +437,13 @@
       {{":method", "POST"}, {":scheme", "http"}},                                            // no path
       {{":method", "POST"}, {":method", "GET"}, {":scheme", "http"}, {":path", "/"}},        // twice
       {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {"Upper", "x"}},            // upper case
-      {{":method", "POST"}, {":scheme", "http"}, {"x", "y"}, {":path", "/"}},                // pseudo late
-      {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {"connection", "close"}},   // HTTP/1
-      {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {"te", "gzip"}},            // te
-      {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {":status", "200"}},        // response's
-      {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {"a", "b\r\nc: d"}},        // smuggled line
-      {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {"content-length", "5"}},   // not kept
-      {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {"content-length", "5x"}},  // no number
+      {{":method", "POST"}, {":scheme", "http"}, {"x", "y"}, {":path", "/"}},                // wrong order
+      {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {"connection", "close"}},   // HTTP/1 only
+      {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {"te", "gzip"}},            // te value
+      {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {":status", "200"}},        // of a response
+      {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {"a", "b\r\nc: d"}},        // CR LF inside
+      {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {"content-length", "5"}},   // body missing
+      {{":method", "POST"}, {":scheme", "http"}, {":path", "/"}, {"content-length", "5x"}},  // not a number
   };
   for (const auto& headers : wrong) {
     Raw r;
@@ -481,7 +487,7 @@
     for (int i = 0; i < 3000 && !r.server.failed(); i++) r.frame(FrameType::data, 0, 1, "");
     EXPECT_EQ(r.failure(), ErrorCode::enhance_your_calm);
   }
-  {  // streams beyond the limit are refused, then the connection ends
+  {  // streams beyond the limit are refused; too many of them fail the connection
     LocalSettings s;
     s.max_concurrent_streams = 4;
     Raw r(s);
@@ -493,7 +499,7 @@
     for (StreamId id = 11; !r.server.failed() && id < 4000; id += 2) r.open(id);
     EXPECT_EQ(r.failure(), ErrorCode::enhance_your_calm);
   }
-  {  // a header list beyond the limit ends the stream only
+  {  // a header list beyond the limit resets only its stream
     Raw r;
     std::string block;
     HpackEncoder e(0);
@@ -516,7 +522,7 @@
   r.frame(FrameType::settings, 0, 0, std::string("\0\4", 2) + u32(1000));  // stream window now -64,535
   r.frame(FrameType::window_update, 0, 0, u32(1'000'000));
   EXPECT_EQ(r.server.unsent_body(), 34'465u);
-  r.frame(FrameType::window_update, 0, 1, u32(64'535));  // 0: still nothing
+  r.frame(FrameType::window_update, 0, 1, u32(64'535));  // now 0: still nothing sent
   EXPECT_EQ(r.server.unsent_body(), 34'465u);
   r.frame(FrameType::window_update, 0, 1, u32(34'465));
   EXPECT_EQ(r.server.unsent_body(), 0u);
@@ -544,7 +550,7 @@
   p.run();
   const auto a = p.client.request(kRequest, "a"), b = p.client.request(kRequest, "b");
   p.run();
-  p.server.respond(a, kCreated, "late");  // on its way while the client resets
+  p.server.respond(a, kCreated, "late");  // in flight while the client resets the stream
   p.client.reset(a, ErrorCode::cancel);
   p.server.reset(b, ErrorCode::refused_stream);
   p.run();
--- a/tests/nghttp2_test.cpp
+++ b/tests/nghttp2_test.cpp
@@ -1,4 +1,5 @@
-// Round trips with libnghttp2 as the peer, in both directions, and the Huffman code symbol by symbol.
+// Interoperability with libnghttp2 as the peer, in both roles, and of HPACK for each symbol of the Huffman
+// code.
 #include <gtest/gtest.h>
 #include <nghttp2/nghttp2.h>
 
@@ -20,7 +21,7 @@
   return out;
 }
 
-// One side played by libnghttp2.
+// A peer implemented by libnghttp2.
 struct Peer {
   nghttp2_session* session = nullptr;
   std::map<std::int32_t, Headers> headers;
@@ -58,6 +59,7 @@
     nghttp2_submit_settings(session, NGHTTP2_FLAG_NONE, nullptr, 0);
   }
   ~Peer() { nghttp2_session_del(session); }
+  // The bytes that it wants to send.
   std::string take() {
     std::string out;
     const std::uint8_t* data;
@@ -65,11 +67,13 @@
       out.append(reinterpret_cast<const char*>(data), static_cast<std::size_t>(n));
     return out;
   }
+  // Passes received bytes to it.
   void give(const std::string& bytes) {
     const auto n =
         nghttp2_session_mem_recv(session, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
     ASSERT_EQ(static_cast<std::size_t>(n), bytes.size()) << nghttp2_strerror(static_cast<int>(n));
   }
+  // A body that libnghttp2 sends.
   struct Source {
     std::string bytes;
     std::size_t at = 0;
@@ -179,7 +183,7 @@
   EXPECT_TRUE(server.idle());
 }
 
-// Each symbol by itself, and the dynamic table under eviction, both ways.
+// Each symbol repeated in a value, and the dynamic table under eviction, encoded and decoded by either side.
 TEST(Nghttp2, HpackBothWays) {
   nghttp2_hd_deflater* deflater;
   nghttp2_hd_inflater* inflater;
