--- a/src/gateway/front.cpp
+++ b/src/gateway/front.cpp
@@ -156,9 +156,9 @@
     }
     case Type::failed: {
       if (e.local) host_.log("client connection closed after a connection error: " + e.data);
-      const auto taken = std::move(c.taken);
+      const auto unanswered = std::move(c.taken);
       c.taken.clear();
-      for (const auto& [stream, id] : taken) lost(id);
+      for (const auto& [stream, id] : unanswered) lost(id);
       while (!c.coming.empty()) drop_request(c, c.coming.begin()->first);
       break;
     }
--- a/tests/http2_test.cpp
+++ b/tests/http2_test.cpp
@@ -307,7 +307,7 @@
   EXPECT_EQ(p.client.unsent_body(), 0u);
 }
 
-// A server connection whose input the test writes byte by byte.
+// A server connection whose input the test writes as raw frames.
 struct Raw {
   Connection server;
   std::vector<Event> events;
