--- a/src/http2/connection.cpp
+++ b/src/http2/connection.cpp
@@ -365,7 +365,7 @@
     }
     last_peer_stream_ = id;
     if (peer_streams_ >= streams_allowed_) {
-      // Section 5.1.2: REFUSED_STREAM tells the peer that the request was not processed.
+      // Section 5.1.2: REFUSED_STREAM proves to the peer that the request was not processed.
       stream_error(id, ErrorCode::refused_stream, "beyond SETTINGS_MAX_CONCURRENT_STREAMS");
       if (!resets_.take(now_, limits_.resets_burst, limits_.resets_per_s))
         return connection_error(ErrorCode::enhance_your_calm, "too many streams refused (section 10.5)");
--- a/tests/conformance_test.cpp
+++ b/tests/conformance_test.cpp
@@ -73,8 +73,8 @@
   const std::vector<Case>& list;
   explicit Prepared(const std::vector<Case>& l, bool centres = false) : standins(centres), list(l) {
     for (std::size_t i = 0; i < list.size(); i++) {
-      // A told wait keeps any attempt from being out at the drain's deadline. Whether one was out depended on
-      // timing before, and so did whether the message was refused or had an unknown effect.
+      // A told wait keeps any attempt from being out at the drain's deadline. Without it, timing decides
+      // whether one is out, and so whether the message is refused or its effect unknown.
       standins.tells_wait = list[i].by_exit && list[i].script == "429" ? 10 * kS : 0;
       standins.add(own(i), list[i].script, list[i].kind);
     }
