--- a/src/sms/bind_guard.cpp
+++ b/src/sms/bind_guard.cpp
@@ -34,7 +34,7 @@
 
 void BindGuard::count(Time now, const std::string& key, int tries) {
   Entry& e = touch(key);
-  // Long quiet: the mistakes of old are forgiven.
+  // No failure for the longest delay: earlier failures no longer count.
   if (now - e.last > settings_.rest_max) e.wrong = e.rests = 0;
   e.last = now;
   if (++e.wrong < tries) return;
--- a/src/sms/bind_link.cpp
+++ b/src/sms/bind_link.cpp
@@ -6,18 +6,19 @@
 namespace cedarplank::sms {
 namespace {
 
+// Longest time that closing may take: the unbind response, then the output that is still queued.
 constexpr Time kLinger = 1'000'000;
 
 const config::SmppBack& kind_of(const config::RelaySettings& s, const config::PartnerEndpoint& e) {
   return s.kind_wire.at(static_cast<std::size_t>(e.kind)).smpp.value();
 }
 
-smpp::SessionSettings session_of(const config::RelaySettings& s, const config::SmppBack& kind) {
+smpp::SessionSettings session_settings_of(const config::RelaySettings& s, const config::SmppBack& kind) {
   smpp::SessionSettings session;
   session.session_init = s.dispatcher.connect_timeout;
   session.response = kind.response;
   session.window = static_cast<std::size_t>(kind.window);
-  return session;  // whether the bind lives is asked by the pool
+  return session;  // no enquire_link timer: the connection pool sends the pings
 }
 
 }  // namespace
@@ -32,7 +33,7 @@
       id_(id),
       driver_(driver),
       log_(std::move(log)),
-      session_(smpp::Role::esme, session_of(settings, kind_), loop.now()) {
+      session_(smpp::Role::esme, session_settings_of(settings, kind_), loop.now()) {
   net::Stream::Handlers handlers;
   handlers.connected = [this] {
     smpp::Bind bind;
@@ -50,7 +51,7 @@
     gone_ = true;
     driver_.gone(endpoint_.id, id_, why);
   };
-  // The connect time-out runs until the bind is accepted; the pool keeps it.
+  // The pool enforces the connect timeout over the whole handshake, until the bind is accepted.
   stream_ = std::make_unique<net::TcpStream>(loop_, net::Address::parse(endpoint_.address),
                                              settings_.dispatcher.connect_timeout, std::move(handlers));
 }
@@ -85,7 +86,7 @@
   on_events(events);
 }
 
-// Nothing is put behind bytes that the endpoint doesn't read: it could no longer be called back.
+// No request is queued behind bytes that the endpoint has not read yet: it could no longer be withdrawn.
 bool BindLink::takes_more() const {
   return session_.can_request() && stream_->queued() == stream_->flushed();
 }
@@ -101,12 +102,13 @@
   try {
     const auto& cls = settings_.names.classes[static_cast<std::size_t>(call.message->message_class)];
     auto parts = submits_of(*call.message, cls, kind_, left, ++reference_);
-    // A message of several parts waits for their room, so that it does not stand half sent behind others.
+    // A message of several parts waits until the window has capacity for all of them, so that it is not left
+    // partly sent behind other messages.
     if (session_.outstanding() > 0 && !session_.can_request(parts.size()))
       return {Submitted::Went::no_room, 0, {}};
     std::move(parts.begin(), parts.end(), std::back_inserter(out.unsent));
-    // A field that can't be said throws at the first part, of which nothing is sent then; the others differ
-    // from it only in their text, which has been cut to fit.
+    // A field that cannot be encoded throws at the first part, before anything is sent; the other parts
+    // differ from it only in their text, which has been split to fit.
     send_parts(call.id, out);
   } catch (const std::invalid_argument& e) {
     return {Submitted::Went::never, 0, {Outcome::not_sent, 0, {}, e.what(), {}}};
@@ -119,10 +121,10 @@
 
 void BindLink::send_parts(relay::CallId id, Out& out) {
   while (!out.unsent.empty() && !out.broken && session_.can_request()) {
-    const std::uint64_t begins_at = stream_->queued() + session_.output_size();
+    const std::uint64_t begin_offset = stream_->queued() + session_.output_size();
     const auto n = session_.request(loop_.now(), smpp::Command::submit_sm, std::move(out.unsent.front()));
     out.unsent.pop_front();
-    out.waiting[n] = begins_at;
+    out.waiting[n] = begin_offset;
     call_of_[n] = id;
   }
 }
@@ -156,7 +158,7 @@
 
 void BindLink::on_events(std::vector<smpp::Event>& events) {
   using Type = smpp::Event::Type;
-  std::string end;
+  std::string close_reason;
   for (auto& e : events) {
     switch (e.type) {
       case Type::bound:
@@ -164,8 +166,9 @@
         break;
       case Type::refused: {
         const char* name = smpp::name_of(e.pdu.status);
-        end = std::string("bind refused: ") + (*name != '\0' ? name : std::to_string(e.pdu.status).c_str());
-        log_("endpoint " + endpoint_.id + ": " + end);
+        close_reason =
+            std::string("bind refused: ") + (*name != '\0' ? name : std::to_string(e.pdu.status).c_str());
+        log_("endpoint " + endpoint_.id + ": " + close_reason);
         break;
       }
       case Type::response:
@@ -175,7 +178,7 @@
         part_ended(e.pdu.sequence, {Outcome::reset, 0, {}, "no submit_sm_resp in time", {}});
         break;
       case Type::request: {
-        // Receipts were not asked for: some centres send them all the same, even before the response.
+        // Receipts are not requested, but some message centres send them anyway, even before the response.
         const auto* m = std::get_if<smpp::Message>(&e.pdu.body);
         const bool receipt = m != nullptr && read_receipt(*m);
         session_.respond(e.pdu, receipt ? smpp::status::ok : smpp::status::receiver_permanent);
@@ -188,11 +191,11 @@
         driver_.draining(endpoint_.id, id_);
         break;
       case Type::unbound:
-        end = closing_ ? "closed" : "the endpoint unbound";
+        close_reason = closing_ ? "closed" : "the endpoint unbound";
         break;
       case Type::failed:
-        end = e.what;
-        log_("endpoint " + endpoint_.id + ": " + end);
+        close_reason = e.what;
+        log_("endpoint " + endpoint_.id + ": " + close_reason);
         break;
       case Type::mistake:
       case Type::stray:
@@ -208,12 +211,12 @@
     }
   }
   if (gone_) return;
-  // Parts that waited for room, oldest call first.
+  // Sends parts that waited for capacity in the window, oldest call first.
   for (auto& [id, out] : out_) send_parts(id, out);
   flush();
-  if (end.empty()) return driver_.pump(endpoint_.id);
+  if (close_reason.empty()) return driver_.pump(endpoint_.id);
   gone_ = true;
-  driver_.gone(endpoint_.id, id_, end);
+  driver_.gone(endpoint_.id, id_, close_reason);
 }
 
 void BindLink::on_response(smpp::Pdu& pdu) { part_ended(pdu.sequence, ending_of_response(pdu, kind_)); }
@@ -221,7 +224,8 @@
 void BindLink::reset(relay::CallId id) {
   const auto it = out_.find(id);
   if (it == out_.end()) return;
-  // SMPP has no way to call a submit back before its response has told its id: it stays out, unheeded.
+  // SMPP cannot cancel a submit before its response has given the message id: the request stays outstanding
+  // and its response is ignored.
   for (const auto& [sequence, at] : it->second.waiting) session_.abandon(sequence), call_of_.erase(sequence);
   out_.erase(it);
 }
@@ -236,7 +240,7 @@
   session_.unbind(loop_.now());
   flush();
   if (session_.state() == smpp::State::closed) return stream_->finish(kLinger);
-  // A centre that does not answer the unbind is left all the same.
+  // Closes the connection even if the message centre does not answer the unbind.
   loop_.cancel(timer_);
   timer_at_ = loop_.now() + kLinger;
   timer_ = loop_.at(timer_at_, [this] {
@@ -250,10 +254,10 @@
   if (it == out_.end()) return {Outcome::reset, 0, {}, why, {}};
   Out& out = it->second;
   auto parts = out.ended;
-  for (const auto& [sequence, begins_at] : out.waiting) {
-    // Not a byte of it was handed to the kernel: that proves that it never ran.
-    const bool left = stream_->flushed() > begins_at;
-    parts.push_back({left ? Outcome::reset : Outcome::connect_failed, 0, {}, why, {}});
+  for (const auto& [sequence, begin_offset] : out.waiting) {
+    // If none of its bytes was handed to the kernel, the request certainly did not run.
+    const bool any_sent = stream_->flushed() > begin_offset;
+    parts.push_back({any_sent ? Outcome::reset : Outcome::connect_failed, 0, {}, why, {}});
   }
   auto ending = ending_of_parts(parts, out.unsent.empty());
   out_.erase(it);
--- a/src/sms/front.cpp
+++ b/src/sms/front.cpp
@@ -10,10 +10,11 @@
 namespace {
 
 namespace st = smpp::status;
-constexpr std::size_t kUnread = 1 << 20;  // bytes; beyond it nothing more is read from that client
+// With more unread output than this, the server reads nothing more from that client.
+constexpr std::size_t kMaxUnreadBytes = 1 << 20;
 constexpr Time kLinger = 1'000'000, kSecond = 1'000'000;
 
-smpp::SessionSettings session_of(const config::SmppFront& f) {
+smpp::SessionSettings session_settings_of(const config::SmppFront& f) {
   smpp::SessionSettings s;
   s.session_init = f.session_init, s.enquire_after = f.enquire_after, s.inactivity = f.inactivity;
   s.response = f.response;
@@ -32,7 +33,7 @@
     case relay::Rejection::Why::malformed:
       break;
   }
-  return st::invalid_tlv_value;  // what Intake looks at comes in parameters, but for what is checked before
+  return st::invalid_tlv_value;  // every other field that request validation checks comes from a TLV
 }
 
 }  // namespace
@@ -50,9 +51,9 @@
   listener_ = std::make_unique<net::Listener>(loop, net::Address::parse(smpp_.listen),
                                               [this](net::Fd fd) { accept(std::move(fd)); });
   address_ = listener_->address().text();
-  char life[20];
-  snprintf(life, sizeof life, "%llx", static_cast<unsigned long long>(host_.wall() / 1000));
-  life_ = life;
+  char run_id[20];
+  snprintf(run_id, sizeof run_id, "%llx", static_cast<unsigned long long>(host_.wall() / 1000));
+  life_ = run_id;
   sweep_timer_ = loop_.after(settings_.stalled_after / 4 + 1, [this] { sweep(); });
 }
 
@@ -69,9 +70,9 @@
 // ---- Connections ----
 
 void Front::accept(net::Fd fd) {
-  // At the cap further connections wait in the backlog until another one ends: see close().
+  // At the limit, further connections wait in the backlog until another one closes: see close().
   if (clients_.size() + 1 >= static_cast<std::size_t>(smpp_.binds_max)) listener_->pause(true);
-  auto owned = std::make_unique<Client>(session_of(smpp_), loop_.now());
+  auto owned = std::make_unique<Client>(session_settings_of(smpp_), loop_.now());
   Client& c = *owned;
   const ClientId id = c.id = next_client_++;
   c.progress_at = loop_.now();
@@ -96,8 +97,9 @@
 
 void Front::flush(Client& c) {
   if (c.session.has_output() && c.stream) c.stream->write(c.session.take_output());
-  // A client that reads no answers may not go on asking: what is held for it stays bounded.
-  if (!c.paused && c.stream->queued() - c.stream->flushed() > kUnread) {
+  // Reads no more requests from a client that does not read its responses, so that the output queued for it
+  // stays bounded.
+  if (!c.paused && c.stream->queued() - c.stream->flushed() > kMaxUnreadBytes) {
     c.paused = true;
     c.stream->pause_reading(true);
   }
@@ -129,7 +131,7 @@
 
 void Front::on_events(Client& c, std::vector<smpp::Event>& events) {
   using Type = smpp::Event::Type;
-  bool over = false;
+  bool finished = false;
   for (auto& e : events) {
     switch (e.type) {
       case Type::bind:
@@ -147,17 +149,17 @@
       case Type::failed:
         host_.log("client " + c.from + (c.known != nullptr ? " (" + c.known->system_id + ")" : "") + ": " +
                   e.what);
-        over = true;
+        finished = true;
         break;
       case Type::unbound:
-        over = true;
+        finished = true;
         break;
       default:
-        break;  // unbind is answered by the session; late and stray responses say nothing
+        break;  // the session answers unbind; late and stray responses need no action
     }
   }
   flush(c);
-  if (over && !c.closing) {
+  if (finished && !c.closing) {
     c.closing = true;
     c.stream->finish(kLinger);
   }
@@ -172,32 +174,32 @@
 
 void Front::on_bind(Client& c, const smpp::Pdu& pdu) {
   const auto& bind = std::get<smpp::Bind>(pdu.body);
-  const auto turn_down = [&](smpp::Status why) {
-    // Told once for many: a flood must not fill the log as well.
+  const auto reject = [&](smpp::Status why) {
+    // Logs one rejection in 100, so that a flood of binds does not fill the log.
     if (turned_down_++ % 100 == 0)
-      host_.log("bind of '" + bind.system_id + "' from " + c.from + " turned down: " + smpp::name_of(why) +
-                " (" + std::to_string(turned_down_) + " so far)");
+      host_.log("bind of '" + bind.system_id + "' from " + c.from + " rejected: " + smpp::name_of(why) +
+                " (" + std::to_string(turned_down_) + " rejected so far)");
     c.session.reject(why);
     flush(c);
     c.closing = true;
     c.stream->finish(kLinger);
   };
-  if (stopping_) return turn_down(st::bind_failed);
+  if (stopping_) return reject(st::bind_failed);
   const auto known = std::find_if(smpp_.clients.begin(), smpp_.clients.end(),
                                   [&](const auto& k) { return k.system_id == bind.system_id; });
   const bool listed = known != smpp_.clients.end();
-  // Whoever was right before is let in whatever others have tried in its name; else guessing comes at a
-  // price, and PBKDF2 is not at a flood's service.
+  // A password that was verified before is accepted whatever others have tried under this system_id. Any
+  // other attempt is rate-limited, so that guessing is slow and a flood of binds cannot make the server
+  // compute PBKDF2 for each one.
   if (!listed || !verifier_.known(bind.system_id, bind.password, known->password)) {
-    if (!guard_.may_try(loop_.now(), bind.system_id, c.from)) return turn_down(st::throttled);
+    if (!guard_.may_try(loop_.now(), bind.system_id, c.from)) return reject(st::throttled);
     if (!listed || !verifier_.check(bind.system_id, bind.password, known->password)) {
       guard_.wrong(loop_.now(), bind.system_id, c.from);
-      return turn_down(st::wrong_password);  // the same for a name that is not listed
+      return reject(st::wrong_password);  // the same status for an unknown system_id
     }
   }
   guard_.right(bind.system_id, c.from);
-  if (binds_of(bind.system_id) >= static_cast<std::size_t>(known->binds_max))
-    return turn_down(st::bind_failed);
+  if (binds_of(bind.system_id) >= static_cast<std::size_t>(known->binds_max)) return reject(st::bind_failed);
   c.known = &*known;
   c.session.accept(loop_.now(), smpp_.system_id);
 }
@@ -205,30 +207,31 @@
 void Front::close(ClientId id, const std::string&, bool abort) {
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
-  // Destroyed later: this may be called from the stream itself. Its messages go on; their receipts wait.
+  // Destroyed later, because the stream itself may be the caller. The client's messages go on; their receipts
+  // wait for another bind.
   std::shared_ptr<Client> c(std::move(it->second));
   clients_.erase(it);
   loop_.cancel(c->timer);
   c->stream->close(abort);
-  // In reverse, so that they stand in their order again.
+  // Put back in reverse, which restores their order.
   for (auto at = c->out.rbegin(); at != c->out.rend(); ++at) receipts_.lost(at->second);
   if (listener_) listener_->pause(false);
   loop_.defer([c] {});
   pump_soon();
 }
 
-// Cuts off clients that read nothing.
+// Disconnects clients that read nothing.
 void Front::sweep() {
   const Time now = loop_.now();
   std::vector<ClientId> stalled;
   for (auto& [id, c] : clients_) {
-    const bool owed = c->stream->queued() > c->stream->flushed();
-    if (!owed || c->stream->flushed() != c->flushed_seen)
+    const bool unsent = c->stream->queued() > c->stream->flushed();
+    if (!unsent || c->stream->flushed() != c->flushed_seen)
       c->progress_at = now, c->flushed_seen = c->stream->flushed();
     if (now - c->progress_at > settings_.stalled_after) stalled.push_back(id);
   }
   for (const auto id : stalled) {
-    host_.log("client reads nothing: cut off");
+    host_.log("client did not read its responses in time; disconnected");
     close(id, "stalled", true);
   }
   receipts_.tick(now);
@@ -246,7 +249,8 @@
   out.message_class = rule->message_class;
   out.urgency = m.priority >= 2 ? "high" : m.priority == 1 ? "normal" : "";
   out.sender = text_of(m.source);
-  // A name stands for the destination itself; a number is a recipient there.
+  // An alphanumeric address (type of number 5) names the destination itself; a number is a recipient, and its
+  // prefix selects the destination.
   if (m.destination.ton == 5) {
     out.destination = m.destination.digits;
     return st::ok;
@@ -281,12 +285,13 @@
 
 Front::Taken Front::submit(Client& c, const smpp::Message& m, std::uint32_t sequence, const std::string& id) {
   if (stopping_) return {st::queue_full, "", 0};
-  // As many as it would get streams over HTTP/2 while the relay is short of time; elsewhere responses, not
-  // final answers, pace a client.
+  // While the relay is short of time, a client may have as many open messages as it would get streams over
+  // HTTP/2. Otherwise responses pace a client, not final answers.
   const int open = host_.open();
   if (open < settings_.client_streams_max && submissions_.with_relay(c.id) >= static_cast<std::size_t>(open))
     return {st::throttled, "", 1};
-  const int mode = m.esm_class & 0x03;  // section 5.2.12: forward mode ties an answer to the response itself
+  const int mode =
+      m.esm_class & 0x03;  // section 5.2.12: forward mode wants the outcome in the response itself
   if (mode == 2) return {st::invalid_esm_class, "", 0};
   if (m.replace_if_present != 0) return {st::invalid_replace_flag, "", 0};
   if (m.default_message != 0) return {st::invalid_default_message, "", 0};
@@ -294,9 +299,9 @@
   Submission s;
   if (const auto wrong = route(m, s.request); wrong != st::ok) return {wrong, "", 0};
   if (!host_.destination(s.request.destination)) return {st::invalid_destination, "", 0};
-  const auto fit = [](const std::string& a) { return a.empty() || relay::valid_address(a); };
-  if (!fit(s.request.recipient)) return {st::invalid_destination, "", 0};
-  if (!fit(s.request.sender)) return {st::invalid_source, "", 0};
+  const auto valid = [](const std::string& a) { return a.empty() || relay::valid_address(a); };
+  if (!valid(s.request.recipient)) return {st::invalid_destination, "", 0};
+  if (!valid(s.request.sender)) return {st::invalid_source, "", 0};
   if (const auto wrong = times(m.schedule, m.validity, s); wrong != st::ok) return {wrong, "", 0};
   if (const auto* key = smpp::find(m.tlvs, own::key)) s.request.idempotency_key = key->value;
   if (const auto* topic = smpp::find(m.tlvs, own::topic))
@@ -313,12 +318,12 @@
     return {st::invalid_esm_class, "", 0};
   }
   s.request.ttl = std::max<Time>(0, s.ends - s.starts);
-  // The same checks as for every way in, before any part is taken: its class, key and fields.
+  // The checks that every protocol server applies to class, key and fields, before any part is accepted.
   relay::NewMessage checked;
   if (const auto rejection = intake_.check(s.request, checked)) return {status_of(*rejection), "", 0};
   if (!content_of(taken.text, m.data_coding)) return {st::submit_failed, "", 0};
   s.id = id.empty() ? next_id() : id;
-  // Until the text is whole, this says how it is coded.
+  // Holds the data_coding until the text is complete; take() replaces it with the content type.
   s.request.content_type.assign(1, static_cast<char>(m.data_coding));
   if (!taken.part || taken.part->total == 1) {
     s.request.body = std::move(taken.text);
@@ -330,7 +335,7 @@
   if (added.part == Submissions::Part::no_room) return {st::queue_full, "", 0};
   start_due();
   if (!added.whole) return {st::ok, added.id, 0};
-  // Its parts have been taken: whatever comes now is its final answer.
+  // The earlier parts have positive responses, so a rejection now becomes the final answer.
   const auto whole = take(std::move(*added.whole), true);
   return {st::ok, added.id, 0, whole.message};
 }
@@ -372,7 +377,7 @@
   });
   if (entry.taken == relay::Core::Taken::yes) return {st::ok, id, 0, named};
   if (named != 0) s = std::move(*submissions_.ended(named));
-  // Short of room or time, which passes.
+  // The relay is short of capacity or time, which is temporary.
   if (entry.taken == relay::Core::Taken::full) return refuse(st::throttled, kSecond);
   return refuse(entry.taken == relay::Core::Taken::unfit ? st::invalid_destination : st::queue_full, 0);
 }
@@ -383,11 +388,11 @@
   if (due == std::numeric_limits<Time>::max()) return;
   due_timer_ = loop_.at(due, [this] {
     due_timer_ = 0;
-    std::vector<Submission> start, never_whole;
-    submissions_.due(loop_.now(), start, never_whole);
+    std::vector<Submission> start, incomplete;
+    submissions_.due(loop_.now(), start, incomplete);
     for (auto& s : start) take(std::move(s), true);
-    // Nothing of it was sent: to try again is harmless.
-    for (auto& s : never_whole) s.receipt.message_id = s.id, end(std::move(s), Receipt::State::refused, 0);
+    // Nothing of them was sent, so the client may safely submit them again.
+    for (auto& s : incomplete) s.receipt.message_id = s.id, end(std::move(s), Receipt::State::refused, 0);
     start_due();
   });
 }
@@ -457,7 +462,7 @@
   }
 }
 
-// Section 4.5: one id; each recipient is a message of its own, whose receipt names it.
+// Section 4.5: one id for all; each recipient is a message of its own, and its receipt names the recipient.
 void Front::on_multi(Client& c, const smpp::Pdu& pdu) {
   const auto& multi = std::get<smpp::Multi>(pdu.body);
   smpp::MultiResp body;
@@ -492,7 +497,8 @@
 
 void Front::on_cancel(Client& c, const smpp::Pdu& pdu) {
   const auto& q = std::get<smpp::Cancel>(pdu.body);
-  // Without an id section 4.9 cancels by addresses: too wide a hand to act on.
+  // Without an id, section 4.9 cancels all messages with these addresses. That is not supported: it could hit
+  // more than the client means.
   const auto cancelled = submissions_.cancel(c.known->system_id, q.message_id, host_.wall());
   for (const auto message : cancelled.messages) host_.withdraw(message);
   c.session.respond(pdu, cancelled.found ? st::ok : st::cancel_failed, smpp::Empty{});
@@ -504,7 +510,7 @@
   if (const auto wrong = times(r.schedule, r.validity, as); wrong != st::ok)
     return c.session.respond(pdu, wrong);
   auto content = content_of(r.text, 0);
-  // Only what still waits for its time: the rest may be on its way.
+  // Only scheduled messages can be replaced: any other may already be on its way.
   const bool done = content && intake_.check_body(content->body.size()) == std::nullopt &&
                     submissions_.replace(c.known->system_id, r.message_id, std::move(*content),
                                          r.schedule.empty() ? std::nullopt : std::optional(as.starts),
@@ -524,7 +530,7 @@
                         : state == Receipt::State::refused ? kRejected
                                                            : kUnknown,
                         wall);
-  // Section 5.2.17: 1 whatever the outcome, 2 where it was not delivered; 3 (v5) where it was.
+  // Section 5.2.17: 1 for a receipt whatever the outcome, 2 on failure only; 3 (v5) on success only.
   const bool wanted = s.registered == 1 || (s.registered == 2 && !served) || (s.registered == 3 && served);
   if (wanted)
     receipts_.owe(loop_.now(), s.client, receipt_of(s.receipt), message);
@@ -566,7 +572,7 @@
       flush(*c);
     }
   }
-  // Guards against a receipt that a client did not answer, and that nothing else would bring out again.
+  // Sends a postponed receipt again even if no other event triggers it.
   const Time again = receipts_.next_again(loop_.now());
   loop_.cancel(again_timer_), again_timer_ = 0;
   if (again != std::numeric_limits<Time>::max())
@@ -588,7 +594,8 @@
     if (host_.book != nullptr && message != 0) host_.book->handed_over(message);
   };
   if (status == st::ok) return done(receipts_.delivered(number));
-  // No answer, or none for now: it may come twice to the client, but is not lost.
+  // No response, or a temporary error: the receipt is sent again. The client may get it twice, but it is not
+  // lost.
   if (!status) return receipts_.not_now(loop_.now(), number);
   if (*status == st::throttled || *status == st::queue_full || *status == st::receiver_temporary ||
       *status == st::system_error)
@@ -611,9 +618,10 @@
   return std::none_of(clients_.begin(), clients_.end(), [&](const auto& x) {
     const Client& c = *x.second;
     if (c.closing || c.known == nullptr) return false;
-    const bool takes =
+    const bool receives =
         c.session.state() == smpp::State::receiver || c.session.state() == smpp::State::transceiver;
-    return (takes && receipts_.waiting(c.known->system_id) > 0) || c.stream->queued() != c.stream->flushed();
+    return (receives && receipts_.waiting(c.known->system_id) > 0) ||
+           c.stream->queued() != c.stream->flushed();
   });
 }
 
--- a/src/sms/front.hpp
+++ b/src/sms/front.hpp
@@ -1,5 +1,5 @@
-// The SMPP front: the relay as message centre. Clients bind, submit, and get the final answers as receipts,
-// over whichever bind they have by then (docs/operate/smpp.md).
+// SMPP server: presents the relay to clients as a message centre. Clients bind and submit messages, and get
+// the final answers as delivery receipts over any bind that they have at that time (docs/operate/smpp.md).
 #pragma once
 
 #include <functional>
@@ -23,21 +23,23 @@
 
 class Front final : public relay::Answers {
  public:
+  // What the server needs from the relay.
   struct Host {
-    std::function<std::optional<DestinationId>(const std::string&)> destination;
-    // The id is given before any answer can come.
+    std::function<std::optional<DestinationId>(const std::string&)> destination;  // finds one by its name
+    // Submits a message. `named` is called with the message's id before any final answer can arrive.
     std::function<relay::Entry(relay::NewMessage, const std::function<void(MessageId)>& named)> take;
-    std::function<void(MessageId)> withdraw;
-    std::function<int()> open;   // messages that one client may have with the relay now; admission decides
-    std::function<Time()> wall;  // us since 1970
+    std::function<void(MessageId)> withdraw;  // cancels a message
+    std::function<int()> open;   // messages that one client may have open now, as admission control sets it
+    std::function<Time()> wall;  // wall clock, us since 1970
     std::function<void(const std::string&)> log;
-    relay::Book* book = nullptr;  // null: the relay forgets what it has answered
+    relay::Book* book = nullptr;  // null: the relay keeps no record of answered messages
   };
-  // What an earlier run took: still held, or answered with a receipt that is owed. False where the ownership
-  // is not this front's.
+  // Restores a message that an earlier run accepted. restore(): the relay still holds it. owed(): it has its
+  // final answer, but the receipt was not delivered yet. Both return false where the ownership record is not
+  // one of this server.
   bool restore(MessageId id, const std::string& owner);
   bool owed(MessageId id, const std::string& owner, Receipt::State state, Time come_back);
-  // Throws where the address can't be listened on. The settings have their `smpp` section.
+  // Throws where the listener cannot be opened. The settings must have an `smpp` section.
   Front(loop::Loop& loop, const config::RelaySettings& settings, Host host);
   ~Front() override;
 
@@ -47,9 +49,10 @@
   void refused(MessageId id, Time come_back, const relay::Account& account) override;
   void failed(MessageId id, const relay::Account& account) override;
 
-  // Nothing new is taken: the listener closes, submits are turned back, what was scheduled is refused.
+  // Stops accepting messages: closes the listener, rejects submits and refuses what was scheduled.
   void stop_taking();
-  // All answers are out to clients that are bound; the others can't be told any more.
+  // Whether all final answers have been sent to the clients that are bound; those without a bind cannot be
+  // reached any more.
   bool drained() const;
   const ReceiptBook& receipts() const { return receipts_; }
 
@@ -57,22 +60,25 @@
   using ClientId = std::uint64_t;
   struct Client {  // one connection
     ClientId id = 0;
-    std::string from;                           // its address
-    const config::SmppClient* known = nullptr;  // once bound
+    std::string from;                           // peer address, without the port
+    const config::SmppClient* known = nullptr;  // the client's settings, once it is bound
     std::unique_ptr<net::Stream> stream;
     smpp::Session session;
-    std::map<std::uint32_t, ReceiptBook::Number> out;  // receipts, by sequence
+    std::map<std::uint32_t, ReceiptBook::Number> out;  // receipts without a response, by sequence number
     loop::TimerId timer = 0;
-    Time timer_at = 0, progress_at = 0;
-    std::uint64_t flushed_seen = 0;
-    bool paused = false, closing = false;
+    Time timer_at = 0;
+    Time progress_at = 0;            // when output last made progress, or none was queued
+    std::uint64_t flushed_seen = 0;  // bytes flushed at the last stall check
+    bool paused = false;             // reading is paused: the client does not read its responses
+    bool closing = false;
     Client(const smpp::SessionSettings& s, Time now) : session(smpp::Role::smsc, s, now) {}
   };
+  // What a submit is answered with.
   struct Taken {
     smpp::Status status = smpp::status::ok;
-    std::string id;
-    std::uint32_t wait = 0;  // seconds
-    MessageId message = 0;   // the relay's; 0: none yet
+    std::string id;          // the message id that the client gets
+    std::uint32_t wait = 0;  // told wait, seconds
+    MessageId message = 0;   // the relay's id; 0: not submitted to the relay yet
   };
 
   void accept(net::Fd fd);
@@ -80,28 +86,34 @@
   void on_events(Client& c, std::vector<smpp::Event>& events);
   void on_bind(Client& c, const smpp::Pdu& pdu);
   void on_request(Client& c, smpp::Pdu& pdu);
+  // The response to a receipt; no status: none came in time.
   void on_answer(Client& c, std::uint32_t sequence, std::optional<smpp::Status> status);
   void on_multi(Client& c, const smpp::Pdu& pdu);
   void on_query(Client& c, const smpp::Pdu& pdu);
   void on_cancel(Client& c, const smpp::Pdu& pdu);
   void on_replace(Client& c, const smpp::Pdu& pdu);
   void answer(Client& c, const smpp::Pdu& pdu, const Taken& taken);
-  // Everything that can be wrong with a submit is told here, before anything is taken.
+  // Validates a submit completely before any part of it is accepted.
   Taken submit(Client& c, const smpp::Message& m, std::uint32_t sequence, const std::string& id = {});
-  Taken take(Submission s, bool answered);  // `answered`: its client has been told that it is taken
+  // Schedules the message or submits it to the relay. `answered`: the client already has a positive response,
+  // so that a rejection becomes a receipt.
+  Taken take(Submission s, bool answered);
+  // Sets class, urgency, sender, destination and recipient from the settings.
   smpp::Status route(const smpp::Message& m, relay::Request& out) const;
+  // Sets when the message may be sent and when it expires.
   smpp::Status times(const std::string& schedule, const std::string& validity, Submission& out) const;
-  // Once the relay would know of the message after a crash.
+  // Calls `then` once the message is durable, if the client is still connected.
   void when_taken(MessageId id, ClientId client, std::function<void(Client&)> then);
+  // Records the final state and queues a receipt if the client asked for one.
   void end(Submission s, Receipt::State state, Time come_back, MessageId message = 0);
   void ended(MessageId message, Receipt::State state, Time come_back);
   void pump_soon();
-  void pump();  // receipts to whoever is bound for them
-  void start_due();
+  void pump();       // sends receipts to the clients that are bound to receive them
+  void start_due();  // sets the timer for scheduled messages and incomplete long ones
   void flush(Client& c);
   void rearm(Client& c);
   void close(ClientId id, const std::string& why, bool abort);
-  void sweep();
+  void sweep();  // disconnects clients that do not read; expires receipts
   std::string next_id();
   std::size_t binds_of(const std::string& system_id) const;
 
@@ -119,10 +131,11 @@
   std::map<ClientId, std::unique_ptr<Client>> clients_;
   ClientId next_client_ = 1;
   std::uint64_t next_message_ = 1;
-  std::string life_;  // tells the ids of this run from those of earlier ones
+  std::string life_;  // part of message ids; makes those of this run differ from those of earlier runs
   bool stopping_ = false, pump_due_ = false;
-  std::uint64_t turned_down_ = 0;
+  std::uint64_t turned_down_ = 0;  // rejected binds
   loop::TimerId sweep_timer_ = 0, due_timer_ = 0, again_timer_ = 0;
+  // False once the server is destroyed; deferred callbacks share it.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
