--- a/src/sms/ownership.cpp
+++ b/src/sms/ownership.cpp
@@ -6,17 +6,17 @@
 namespace cedarplank::sms {
 namespace {
 
-constexpr std::string_view kMark = "smpp1";
+constexpr std::string_view kFormatTag = "smpp1";
 
-// Each field with its length before it, so that any byte may be in one.
-void put(std::string& to, std::string_view field) {
+// Writes the field with its length before it, so that it may contain any byte.
+void put_field(std::string& to, std::string_view field) {
   to += std::to_string(field.size()), to += ':', to += field;
 }
-void put(std::string& to, const smpp::Address& a) {
-  put(to, std::to_string(a.ton)), put(to, std::to_string(a.npi)), put(to, a.digits);
+void put_field(std::string& to, const smpp::Address& a) {
+  put_field(to, std::to_string(a.ton)), put_field(to, std::to_string(a.npi)), put_field(to, a.digits);
 }
 
-std::optional<std::vector<std::string>> fields_of(std::string_view bytes) {
+std::optional<std::vector<std::string>> split_fields(std::string_view bytes) {
   std::vector<std::string> fields;
   while (!bytes.empty()) {
     std::size_t size = 0;
@@ -31,10 +31,11 @@
   return fields;
 }
 
-std::int64_t number(const std::string& text) { return std::strtoll(text.c_str(), nullptr, 10); }
-smpp::Address address(const std::vector<std::string>& f, std::size_t at) {
+std::int64_t parse_number(const std::string& text) { return std::strtoll(text.c_str(), nullptr, 10); }
+smpp::Address read_address(const std::vector<std::string>& f, std::size_t at) {
   smpp::Address a;
-  a.ton = static_cast<std::uint8_t>(number(f[at])), a.npi = static_cast<std::uint8_t>(number(f[at + 1]));
+  a.ton = static_cast<std::uint8_t>(parse_number(f[at])),
+  a.npi = static_cast<std::uint8_t>(parse_number(f[at + 1]));
   a.digits = f[at + 2];
   return a;
 }
@@ -42,22 +43,23 @@
 }  // namespace
 
 std::string ownership_of(const Submission& s) {
-  std::string bytes(kMark);
-  put(bytes, s.client), put(bytes, s.id), put(bytes, std::to_string(s.registered));
-  put(bytes, std::to_string(s.receipt.taken_wall)), put(bytes, s.receipt.text);
-  put(bytes, s.receipt.service_type), put(bytes, s.receipt.source), put(bytes, s.receipt.destination);
+  std::string bytes(kFormatTag);
+  put_field(bytes, s.client), put_field(bytes, s.id), put_field(bytes, std::to_string(s.registered));
+  put_field(bytes, std::to_string(s.receipt.taken_wall)), put_field(bytes, s.receipt.text);
+  put_field(bytes, s.receipt.service_type), put_field(bytes, s.receipt.source),
+      put_field(bytes, s.receipt.destination);
   return bytes;
 }
 
 std::optional<Submission> submission_of(std::string_view ownership) {
-  if (ownership.substr(0, kMark.size()) != kMark) return std::nullopt;
-  const auto f = fields_of(ownership.substr(kMark.size()));
+  if (ownership.substr(0, kFormatTag.size()) != kFormatTag) return std::nullopt;
+  const auto f = split_fields(ownership.substr(kFormatTag.size()));
   if (!f || f->size() != 12) return std::nullopt;
   Submission s;
   s.client = (*f)[0], s.id = s.receipt.message_id = (*f)[1];
-  s.registered = static_cast<std::uint8_t>(number((*f)[2]));
-  s.receipt.taken_wall = number((*f)[3]), s.receipt.text = (*f)[4], s.receipt.service_type = (*f)[5];
-  s.receipt.source = address(*f, 6), s.receipt.destination = address(*f, 9);
+  s.registered = static_cast<std::uint8_t>(parse_number((*f)[2]));
+  s.receipt.taken_wall = parse_number((*f)[3]), s.receipt.text = (*f)[4], s.receipt.service_type = (*f)[5];
+  s.receipt.source = read_address(*f, 6), s.receipt.destination = read_address(*f, 9);
   return s;
 }
 
--- a/src/sms/ownership.hpp
+++ b/src/sms/ownership.hpp
@@ -1,5 +1,5 @@
-// What must be known of an SMPP client's message to give its receipt after a crash, as bytes that the relay
-// keeps with the message. Free of I/O.
+// Ownership record of an SMPP client's message: what is needed to deliver its receipt after a crash, encoded
+// as bytes that the relay stores with the message. Does no I/O.
 #pragma once
 
 #include <optional>
@@ -10,8 +10,10 @@
 
 namespace cedarplank::sms {
 
+// Encodes the fields that a receipt needs.
 std::string ownership_of(const Submission& submission);
-// Nothing where the bytes are none of these: another front's, or a later version's.
+// Decodes a record. Nothing where the bytes are not one: written by another protocol server or a later
+// version.
 std::optional<Submission> submission_of(std::string_view ownership);
 
 }  // namespace cedarplank::sms
--- a/src/sms/password.hpp
+++ b/src/sms/password.hpp
@@ -1,4 +1,4 @@
-// Passwords of SMPP clients, kept in settings as their hashes (PBKDF2-HMAC-SHA-256, RFC 8018, by OpenSSL).
+// Passwords of SMPP clients, which the settings hold as hashes (PBKDF2-HMAC-SHA-256, RFC 8018, by OpenSSL).
 #pragma once
 
 #include <map>
@@ -8,18 +8,19 @@
 
 constexpr int kIterations = 20'000;
 
-// "pbkdf2-sha256$<iterations>$<salt>$<hash>", with a fresh salt.
+// "pbkdf2-sha256$<iterations>$<salt>$<hash>" with a new random salt; salt and hash are hexadecimal.
 std::string hash_password(const std::string& password, int iterations = kIterations);
-// Throws std::invalid_argument where the hash is malformed.
+// Whether the password is the one that was hashed. Throws std::invalid_argument where the hash is malformed.
 bool matches(const std::string& password, const std::string& hash);
 
-// Remembers, under a key that never leaves the process, what was right, so that a client that binds again
-// costs no PBKDF2.
+// Verifies passwords and caches the ones that were right, so that a client that binds again needs no PBKDF2.
+// The cache holds HMACs under a random key that never leaves the process.
 class Verifier {
  public:
   Verifier();
-  // At once, without PBKDF2: the password is the one that was right for this hash.
+  // Whether this password was verified against this hash before. Cheap: computes no PBKDF2.
   bool known(const std::string& system_id, const std::string& password, const std::string& hash) const;
+  // Verifies the password, from the cache or by PBKDF2, and caches it where it is right.
   bool check(const std::string& system_id, const std::string& password, const std::string& hash);
 
  private:
--- a/src/sms/receipt_book.cpp
+++ b/src/sms/receipt_book.cpp
@@ -12,11 +12,11 @@
     return;
   }
   if (waiting_ >= settings_.most) {
-    const auto most = std::max_element(clients_.begin(), clients_.end(), [](const auto& a, const auto& b) {
+    const auto longest = std::max_element(clients_.begin(), clients_.end(), [](const auto& a, const auto& b) {
       return a.second.size() < b.second.size();
     });
-    most->second.pop_front();
-    if (most->second.empty()) clients_.erase(most);
+    longest->second.pop_front();
+    if (longest->second.empty()) clients_.erase(longest);
     waiting_--, counts_.dropped++;
   }
   clients_[client].push_back({std::move(receipt), now + settings_.keep, 0, tag});
@@ -62,10 +62,10 @@
 void ReceiptBook::tick(Time now) {
   for (auto it = clients_.begin(); it != clients_.end();) {
     auto& queue = it->second;
-    const auto over =
+    const auto expired =
         std::remove_if(queue.begin(), queue.end(), [&](const Owed& o) { return o.until <= now; });
-    const auto n = static_cast<std::size_t>(queue.end() - over);
-    queue.erase(over, queue.end());
+    const auto n = static_cast<std::size_t>(queue.end() - expired);
+    queue.erase(expired, queue.end());
     waiting_ -= n, counts_.expired += n;
     it = queue.empty() ? clients_.erase(it) : std::next(it);
   }
--- a/src/sms/receipt_book.hpp
+++ b/src/sms/receipt_book.hpp
@@ -1,5 +1,6 @@
-// Receipts owed to clients until they have taken them: in the order of their messages' ends, over whichever
-// bind the client has, kept while it has none. Free of I/O and clock; bounded in number and time.
+// Queue of delivery receipts for SMPP clients. Holds each receipt until its client has accepted it: in the
+// order in which the messages ended, for any bind of the client, and also while the client has no bind. Does
+// no I/O and reads no clock; bounded in number and time.
 #pragma once
 
 #include <cstdint>
@@ -18,28 +19,28 @@
  public:
   using Number = std::uint64_t;
   struct Settings {
-    std::size_t most = 100'000;  // waiting, of all clients
-    Time keep = 3'600'000'000;
-    Time again_after = 1'000'000;  // one that the client could not take now
+    std::size_t most = 100'000;    // receipts waiting, of all clients together
+    Time keep = 3'600'000'000;     // how long a receipt waits before it expires, us
+    Time again_after = 1'000'000;  // delay before a receipt that was postponed is sent again, us
   };
   struct Counts {
     std::uint64_t owed = 0, delivered = 0, refused = 0, expired = 0, dropped = 0;
   };
   explicit ReceiptBook(const Settings& settings) : settings_(settings) {}
 
-  // At the bound, the oldest of whoever has the most waiting goes, so that one client that never binds takes
-  // no other's place.
-  // `tag` comes back when it is done with.
+  // Adds a receipt. At the limit, drops the oldest receipt of the client with the most waiting, so that a
+  // client that never binds does not displace the receipts of others. `tag` is returned when the receipt is
+  // done.
   void owe(Time now, const std::string& client, smpp::Message receipt, std::uint64_t tag = 0);
-  // The next one to send to this client, which is then out.
+  // Takes the next receipt to send to this client; it is outstanding until one of the calls below ends that.
   std::optional<std::pair<Number, smpp::Message>> next(Time now, const std::string& client);
-  std::uint64_t delivered(Number number);  // taken; its tag
-  std::uint64_t refused(Number number);    // the client will never take it
-  void not_now(Time now, Number number);   // the client is short of room
-  void lost(Number number);                // its bind went before it answered: it goes again, first
-  // Forgets those whose time is up.
+  std::uint64_t delivered(Number number);  // the client accepted it; returns its tag
+  std::uint64_t refused(Number number);    // the client will never accept it; returns its tag
+  void not_now(Time now, Number number);   // the client cannot accept it now: sent again after a delay
+  void lost(Number number);                // its bind was lost without a response: sent again, first
+  // Drops the receipts that have expired.
   void tick(Time now);
-  // When one that its client could not take goes again; the largest time where none waits so.
+  // When the next postponed receipt is due; the largest time where there is none.
   Time next_again(Time now) const;
 
   std::size_t waiting(const std::string& client) const;
@@ -50,10 +51,11 @@
  private:
   struct Owed {
     smpp::Message receipt;
-    Time until = 0, not_before = 0;
+    Time until = 0;       // expires then
+    Time not_before = 0;  // not sent before
     std::uint64_t tag = 0;
   };
-  struct Out {
+  struct Out {  // sent, without a response yet
     std::string client;
     Owed owed;
   };
@@ -61,7 +63,7 @@
   void put_back(Number number, Time not_before);
 
   Settings settings_;
-  std::map<std::string, std::deque<Owed>> clients_;
+  std::map<std::string, std::deque<Owed>> clients_;  // waiting receipts, by system_id
   std::map<Number, Out> out_;
   std::size_t waiting_ = 0;
   Number next_ = 1;
--- a/src/sms/semantics.cpp
+++ b/src/sms/semantics.cpp
@@ -10,10 +10,11 @@
 namespace {
 
 namespace st = smpp::status;
-constexpr Time kSecond = 1'000'000, kLongestWait = 24LL * 3600 * kSecond;
-constexpr std::uint8_t kReceipt = 0x04;  // esm_class bits 5 to 2, section 5.2.12
+constexpr Time kSecond = 1'000'000;                   // us
+constexpr Time kMaxToldWait = 24LL * 3600 * kSecond;  // a longer told wait counts as this
+constexpr std::uint8_t kEsmReceipt = 0x04;            // message type in esm_class bits 5 to 2, section 5.2.12
 
-std::optional<int> digits(std::string_view text) {
+std::optional<int> parse_digits(std::string_view text) {
   int v = 0;
   for (const char c : text) {
     if (c < '0' || c > '9') return std::nullopt;
@@ -22,8 +23,10 @@
   return v;
 }
 
-// Its last two digits.
-std::string two(Time n) { return {static_cast<char>('0' + n / 10 % 10), static_cast<char>('0' + n % 10)}; }
+// The last two digits of a number.
+std::string two_digits(Time n) {
+  return {static_cast<char>('0' + n / 10 % 10), static_cast<char>('0' + n % 10)};
+}
 
 tm utc(Time wall) {
   const time_t seconds = wall / kSecond;
@@ -49,7 +52,7 @@
     case st::throttled:
     case st::queue_full:
       return Proof::refused;
-    // Told of the PDU itself, before anything is done with it (section 5.1.3).
+    // Errors in the PDU itself, reported before the message centre acts on it (section 5.1.3).
     case st::invalid_message_length:
     case st::invalid_command_length:
     case st::invalid_command:
@@ -80,7 +83,7 @@
     case st::invalid_tlv_value:
       return Proof::not_run;
     default:
-      return Proof::doubt;  // also reserved and vendors' own
+      return Proof::doubt;  // also for reserved and vendor-specific statuses
   }
 }
 
@@ -89,7 +92,7 @@
   const char* name = smpp::name_of(response.status);
   e.what = *name != '\0' ? name : "status " + std::to_string(response.status);
   const auto proof = proof_of(response.status, kind);
-  // A generic_nack means that the peer could not read the PDU, not that it took it, whatever it says.
+  // A generic_nack means that the peer could not read the PDU, not that it accepted it, whatever its status.
   if (proof == Proof::ran && response.command == smpp::Command::generic_nack)
     e.outcome = Outcome::error;
   else
@@ -105,14 +108,14 @@
       congestion && *congestion <= 100)
     e.report.limit_left = 1 - static_cast<double>(*congestion) / 100;
   if (const auto wait = smpp::number(body->tlvs, own::wait); wait && kind.own_tags)
-    e.told_wait = std::min<Time>(static_cast<Time>(*wait) * kSecond, kLongestWait);
+    e.told_wait = std::min<Time>(static_cast<Time>(*wait) * kSecond, kMaxToldWait);
   return e;
 }
 
 relay::Ending ending_of_parts(const std::vector<relay::Ending>& parts, bool sent_all) {
   relay::Ending whole;
   whole.outcome = Outcome::not_sent, whole.what = "nothing was sent";
-  std::size_t ran = 0, unrun = 0;
+  std::size_t ran = 0, not_run = 0;
   const relay::Ending* worst = nullptr;
   for (const auto& p : parts) {
     whole.told_wait = std::max(whole.told_wait, p.told_wait);
@@ -124,8 +127,8 @@
     }
     const bool proved =
         p.outcome == Outcome::full || p.outcome == Outcome::not_sent || p.outcome == Outcome::connect_failed;
-    unrun += proved;
-    // What is least certain is told; among refusals, the one that speaks of the endpoint.
+    not_run += proved;
+    // Reports the least certain outcome; among refusals, the one that concerns the endpoint itself.
     if (worst == nullptr || !proved || (p.outcome == Outcome::full && worst->outcome == Outcome::not_sent))
       worst = &p;
   }
@@ -136,7 +139,7 @@
   }
   whole.what = worst->what;
   whole.outcome = worst->outcome;
-  if (ran > 0 && unrun > 0 && ran + unrun == parts.size())
+  if (ran > 0 && not_run > 0 && ran + not_run == parts.size())
     whole.outcome = Outcome::error, whole.what += " for a part, after others were taken";
   whole.location.clear();
   return whole;
@@ -162,15 +165,18 @@
 std::string text_of(const smpp::Address& a) { return a.ton == 1 ? "+" + a.digits : a.digits; }
 
 std::string relative_time(Time span) {
-  // Of the years, months and days of section 7.1.1.2 only those of a fixed length are used.
+  // Section 7.1.1.2 has years and months too, but their length varies, so only days and smaller units are
+  // used.
   auto s = std::max<Time>(1, (span + kSecond - 1) / kSecond);
   s = std::min<Time>(s, 30LL * 24 * 3600 - 1);
-  return "0000" + two(s / 86'400) + two(s / 3600 % 24) + two(s / 60 % 60) + two(s % 60) + "000R";
+  return "0000" + two_digits(s / 86'400) + two_digits(s / 3600 % 24) + two_digits(s / 60 % 60) +
+         two_digits(s % 60) + "000R";
 }
 
 std::string receipt_time(Time wall) {
   const tm t = utc(wall);
-  return two(t.tm_year) + two(t.tm_mon + 1) + two(t.tm_mday) + two(t.tm_hour) + two(t.tm_min);
+  return two_digits(t.tm_year) + two_digits(t.tm_mon + 1) + two_digits(t.tm_mday) + two_digits(t.tm_hour) +
+         two_digits(t.tm_min);
 }
 
 std::optional<Time> time_until(const std::string& text, Time wall) {
@@ -178,17 +184,17 @@
   const std::string_view v(text);
   int f[6];
   for (std::size_t i = 0; i < 6; i++) {
-    const auto n = digits(v.substr(i * 2, 2));
+    const auto n = parse_digits(v.substr(i * 2, 2));
     if (!n) return std::nullopt;
     f[i] = *n;
   }
-  const auto tenths = digits(v.substr(12, 1)), quarters = digits(v.substr(13, 2));
+  const auto tenths = parse_digits(v.substr(12, 1)), quarters = parse_digits(v.substr(13, 2));
   if (!tenths || !quarters || f[3] > 23 || f[4] > 59 || f[5] > 59) return std::nullopt;
   const char sign = v[15];
   tm t{};
   if (sign == 'R') {
     if (f[1] > 12 || f[2] > 31) return std::nullopt;
-    // Counted on the calendar, so that a month is the month that follows.
+    // Added in calendar units, so that a month has the length of that month.
     t = utc(wall);
     t.tm_year += f[0], t.tm_mon += f[1], t.tm_mday += f[2], t.tm_hour += f[3], t.tm_min += f[4],
         t.tm_sec += f[5];
@@ -198,7 +204,7 @@
     return std::nullopt;
   t.tm_year = f[0] + 100, t.tm_mon = f[1] - 1, t.tm_mday = f[2], t.tm_hour = f[3], t.tm_min = f[4],
   t.tm_sec = f[5];
-  const Time offset = *quarters * 15 * 60;  // the local time is ahead of UTC by it, with '+'
+  const Time offset = *quarters * 15 * 60;  // seconds from UTC; with '+', local time is ahead
   const Time at = (timegm(&t) - (sign == '+' ? offset : -offset)) * kSecond + *tenths * 100'000;
   return std::max<Time>(0, at - wall);
 }
@@ -226,8 +232,8 @@
 
 std::optional<Content> content_of(std::string_view text, std::uint8_t data_coding) {
   using smpp::Coding;
-  // Section 5.2.19: 0 the default alphabet, 1 ASCII, 3 Latin-1, 8 UCS-2, 2 and 4 octets; the others are
-  // passed on as octets.
+  // Section 5.2.19: 0 the default alphabet, 1 ASCII, 3 Latin-1, 8 UCS-2, 2 and 4 octets. Any other
+  // value is treated as octets.
   const auto as = [&](Coding c) -> std::optional<Content> {
     auto utf8 = smpp::from_coding(text, c);
     if (!utf8) return std::nullopt;
@@ -252,16 +258,16 @@
   using State = Receipt::State;
   const bool served = r.state == State::served;
   const std::uint8_t state = served ? kDelivered : r.state == State::refused ? kRejected : kUnknown;
-  const char* word = served ? "DELIVRD" : r.state == State::refused ? "REJECTD" : "UNKNOWN";
+  const char* stat = served ? "DELIVRD" : r.state == State::refused ? "REJECTD" : "UNKNOWN";
   smpp::Message m;
-  m.esm_class = kReceipt;
+  m.esm_class = kEsmReceipt;
   m.service_type = r.service_type;
-  m.source = r.destination, m.destination = r.source;  // back to whoever sent it
+  m.source = r.destination, m.destination = r.source;  // goes back to the sender
   std::string plain;
   for (const char c : r.text.substr(0, 20)) plain += c >= ' ' && c < 0x7f ? c : '.';
   m.text = "id:" + r.message_id + " sub:001 dlvrd:" + (served ? "001" : "000") +
            " submit date:" + receipt_time(r.taken_wall) + " done date:" + receipt_time(r.ended_wall) +
-           " stat:" + word + " err:000 text:" + plain;
+           " stat:" + stat + " err:000 text:" + plain;
   m.tlvs.push_back({smpp::tag::receipted_message_id, r.message_id + '\0'});
   m.tlvs.push_back(smpp::tlv(smpp::tag::message_state, state, 1));
   if (r.come_back > 0)
@@ -271,25 +277,25 @@
 }
 
 std::optional<ReceiptSays> read_receipt(const smpp::Message& m) {
-  if ((m.esm_class & 0x3c) != kReceipt) return std::nullopt;
+  if ((m.esm_class & 0x3c) != kEsmReceipt) return std::nullopt;
   ReceiptSays says;
   if (const auto* id = smpp::find(m.tlvs, smpp::tag::receipted_message_id))
     says.message_id = id->value.substr(0, id->value.find('\0'));
   if (const auto state = smpp::number(m.tlvs, smpp::tag::message_state))
     says.state = static_cast<std::uint8_t>(*state);
   if (const auto wait = smpp::number(m.tlvs, own::wait)) says.come_back = static_cast<Time>(*wait) * kSecond;
-  const auto word = [&](const char* key) {
+  const auto field = [&](const char* key) {
     const auto at = m.text.find(key);
     if (at == std::string::npos) return std::string();
     const auto from = at + std::string_view(key).size();
     return m.text.substr(from, m.text.find(' ', from) - from);
   };
-  if (says.message_id.empty()) says.message_id = word("id:");
+  if (says.message_id.empty()) says.message_id = field("id:");
   if (says.state == 0) {
     static constexpr std::pair<const char*, std::uint8_t> kWords[] = {
         {"DELIVRD", kDelivered}, {"EXPIRED", kExpired}, {"DELETED", kDeleted}, {"UNDELIV", kUndeliverable},
         {"ACCEPTD", kAccepted},  {"UNKNOWN", kUnknown}, {"REJECTD", kRejected}};
-    const auto stat = word("stat:");
+    const auto stat = field("stat:");
     for (const auto& [name, state] : kWords)
       if (stat == name) says.state = state;
   }
--- a/src/sms/semantics.hpp
+++ b/src/sms/semantics.hpp
@@ -1,5 +1,6 @@
-// What SMPP says, in the module's terms, and back: statuses to outcomes, messages to submit_sm and from it,
-// times. Free of I/O and clock; docs/operate/smpp.md has the same tables for people.
+// Mapping between SMPP and the relay's model, in both directions: statuses to outcomes, messages to submit_sm
+// and back, times, delivery receipts. Does no I/O and reads no clock; docs/operate/smpp.md documents the same
+// tables for operators.
 #pragma once
 
 #include <optional>
@@ -14,79 +15,84 @@
 
 namespace cedarplank::sms {
 
-// This program's own parameters, in the range that v3.4 section 5.3.2 leaves to vendors; a peer that doesn't
-// know them passes over them (section 3.3). They carry what SMPP has no field for.
+// Vendor-specific optional parameters, in the range that v3.4 section 5.3.2 reserves for vendors. They carry
+// what SMPP has no field for; a peer that does not know them ignores them (section 3.3).
 namespace own {
 constexpr std::uint16_t key = 0x1401;    // Idempotency-Key, up to 256 octets
 constexpr std::uint16_t topic = 0x1402;  // Topic, up to 32 octets
-constexpr std::uint16_t wait = 0x1403;   // told wait or time to come back, in seconds, 4 octets
+constexpr std::uint16_t wait =
+    0x1403;  // told wait, or time after which to submit again, in seconds, 4 octets
 }  // namespace own
 
-// ---- To a partner ----
+// ---- To an endpoint ----
 
-// What a status proves of the submit that it answers.
+// What a status proves about the submit that it answers.
 enum class Proof {
-  ran,      // taken
-  refused,  // not run: for want of room, now
-  not_run,  // not run: for what it says, or where; the endpoint itself may be well
+  ran,      // accepted
+  refused,  // not run: the endpoint is short of capacity now
+  not_run,  // not run: because of its content or its addresses; the endpoint itself may be healthy
   doubt     // it may have run
 };
+// `kind.unseen` lists further statuses that prove that the submit was refused.
 Proof proof_of(smpp::Status status, const config::SmppBack& kind);
 
 // The outcome of a response to one submit_sm.
 relay::Ending ending_of_response(const smpp::Pdu& response, const config::SmppBack& kind);
-// The outcome of a message whose parts ended in these ways; `sent_all`: no part was left unsent. Parts that
-// were taken can't be had back, so that one refusal among them leaves doubt.
+// The outcome of a message from the outcomes of its parts; `sent_all`: no part was left unsent. Accepted
+// parts cannot be withdrawn, so a refused part among accepted ones leaves the outcome in doubt.
 relay::Ending ending_of_parts(const std::vector<relay::Ending>& parts, bool sent_all);
 
-// Why a message can't go to a partner of this kind, whatever its state; null: it can.
+// Why a message can never be sent to an endpoint of this kind, whatever the endpoint's state; null: it can.
 const char* unfit(const config::SmppBack& kind, const relay::NewMessage& message, Effect effect);
 
-// The submits of a message, one for each part. `left`: of its time, in us. Throws std::invalid_argument where
-// it can't be said in SMPP.
+// The submit_sm requests for a message, one for each part. `left`: the time until its deadline, us. Throws
+// std::invalid_argument where SMPP cannot express the message.
 std::vector<smpp::Message> submits_of(const relay::NewMessage& message, const std::string& message_class,
                                       const config::SmppBack& kind, Time left, std::uint16_t reference);
 
-// A number or name as section 5.2.5 and 5.2.6 have it: "+..." international, digits alone unknown, else
-// alphanumeric.
+// Converts a number or name to an address with the types of sections 5.2.5 and 5.2.6: "+..." is
+// international, digits alone are of unknown type, anything else is alphanumeric.
 smpp::Address address_of(const std::string& text);
 std::string text_of(const smpp::Address& address);
 
 // ---- From a client ----
 
-// Seconds since 1970 and microseconds; section 7.1.1. Relative times count from `wall`. In us from then, 0
-// where it lies in the past; nothing where the text is neither form. Empty is the caller's matter.
+// The time from `wall` (us since 1970) until an absolute or relative SMPP time (section 7.1.1), us; 0 where
+// it lies in the past. Relative times count from `wall`. Nothing where the text has neither form; the caller
+// handles an empty one.
 std::optional<Time> time_until(const std::string& text, Time wall);
 std::string relative_time(Time span);  // section 7.1.1.2, whole seconds, rounded up
 std::string receipt_time(Time wall);   // appendix B: YYMMDDhhmm
 
-// The text of a message as a body: UTF-8 with its content type, or octets as they are.
+// A message's text as a body: UTF-8 with its content type, or the octets unchanged.
 struct Content {
   std::string body, type;
 };
-// Nothing where the bytes are none of the alphabet that data_coding names.
+// Decodes a text. Nothing where the bytes are not valid in the alphabet that data_coding names.
 std::optional<Content> content_of(std::string_view text, std::uint8_t data_coding);
 
-// The final answer as a delivery receipt (appendix B, and the parameters of section 5.3.2).
+// A final answer as a delivery receipt (appendix B, and the parameters of section 5.3.2).
 struct Receipt {
   enum class State { served, refused, failed };
   std::string message_id;
   State state = State::failed;
-  Time come_back = 0;  // refused
-  Time taken_wall = 0, ended_wall = 0;
-  std::string text;  // the first of the message's own
+  Time come_back = 0;  // refused: when the client may submit it again, us from now; 0: not given
+  Time taken_wall = 0, ended_wall = 0;  // when it was accepted and when it ended, us since 1970
+  std::string text;                     // the beginning of the message's text
   smpp::Address source, destination;
   std::string service_type;
 };
 smpp::Message receipt_of(const Receipt& receipt);
-// What a receipt says; nothing where the message is none.
+// The contents of a receipt that a message centre sent.
 struct ReceiptSays {
   std::string message_id;
   std::uint8_t state = 0;  // section 5.2.28
   Time come_back = 0;
 };
+// Nothing where the message is not a receipt.
 std::optional<ReceiptSays> read_receipt(const smpp::Message& message);
 
+// message_state, section 5.2.28.
 constexpr std::uint8_t kDelivered = 2, kExpired = 3, kDeleted = 4, kUndeliverable = 5, kAccepted = 6,
                        kUnknown = 7, kRejected = 8, kEnroute = 1;
 
--- a/src/sms/submissions.cpp
+++ b/src/sms/submissions.cpp
@@ -23,27 +23,27 @@
                                          Submission submission, std::string text) {
   Added added;
   auto it = parts_.find(key);
-  const bool fresh = it == parts_.end();
-  if (!fresh && it->second.total == part.total && it->second.texts.count(part.number) > 0)
+  const bool is_new = it == parts_.end();
+  if (!is_new && it->second.total == part.total && it->second.texts.count(part.number) > 0)
     return {Part::again, it->second.submission.id, {}};
-  if (!fresh && it->second.total != part.total) return added;
-  if (fresh ? !has_room(submission.client, parts_.size(), settings_.parts_max, text.size())
-            : bytes_ + text.size() > settings_.bytes_max)
+  if (!is_new && it->second.total != part.total) return added;
+  if (is_new ? !has_room(submission.client, parts_.size(), settings_.parts_max, text.size())
+             : bytes_ + text.size() > settings_.bytes_max)
     return added;
-  if (fresh) {
+  if (is_new) {
     counted(submission.client, 1);
     const Time due = std::min(submission.ends, now + settings_.parts_within);
     parts_due_.insert({due, key});
     it = parts_.emplace(key, Open{std::move(submission), due, part.total, 0, 0, {}}).first;
   } else {
-    // A receipt is given where any part wants one.
+    // A receipt is sent where any part asks for one.
     it->second.submission.registered |= submission.registered;
   }
   Open& open = it->second;
   added.id = open.submission.id;
   open.have++, open.bytes += text.size(), bytes_ += text.size();
   open.texts[part.number] = std::move(text);
-  added.part = fresh ? Part::first : Part::more;
+  added.part = is_new ? Part::first : Part::more;
   if (open.have < open.total) return added;
   added.part = Part::whole;
   for (auto& [number, piece] : open.texts) open.submission.request.body += piece;
@@ -181,7 +181,7 @@
 void Submissions::note_end(const std::string& client, const std::string& id, std::uint8_t state, Time wall) {
   if (settings_.states_max == 0) return;
   const auto [it, fresh] = ends_.try_emplace(id, std::pair(client, State{state, wall}));
-  // Of several recipients under one id, the worst is told: delivered only where all were.
+  // For several recipients under one id, the worst state is reported: delivered only where all were.
   if (!fresh && it->second.second.state == kDelivered) it->second.second = {state, wall};
   if (!fresh) return;
   ends_order_.push_back(id);
--- a/src/sms/submissions.hpp
+++ b/src/sms/submissions.hpp
@@ -1,8 +1,9 @@
-// What clients have submitted, by the id that they were told: long messages whose parts are still coming,
-// messages that wait for their time, those with the relay, and how the latest ended. Free of I/O and clock;
-// bounded.
+// Messages that SMPP clients have submitted, by the message id that the client got: long messages whose parts
+// are still arriving, scheduled messages, messages that the relay holds, and the final states of the latest
+// ones. Does no I/O and reads no clock; bounded.
 //
-// One message has one id, whatever its parts, and one final state; nothing is forgotten without one.
+// A message has one id, however many parts it has, and one final state; none is dropped without a final
+// state.
 #pragma once
 
 #include <cstdint>
@@ -19,77 +20,86 @@
 namespace cedarplank::sms {
 
 struct Submission {
-  std::string id, client;       // the message's, and its client's system_id
-  std::uint8_t registered = 0;  // section 5.2.17: whether a receipt is wanted
-  Receipt receipt;              // what it will say
-  relay::Request request;       // its body once it is whole
+  std::string id, client;       // the message id, and the client's system_id
+  std::uint8_t registered = 0;  // registered_delivery, section 5.2.17: whether a receipt is wanted
+  Receipt receipt;              // the receipt so far
+  relay::Request request;       // has its body once all parts are there
   int tenant = -1;
-  Time starts = 0;               // not handed to the relay before
-  Time ends = 0;                 // its validity
-  std::uint64_t connection = 0;  // for its story
-  std::uint32_t sequence = 0;
+  Time starts = 0;               // not submitted to the relay before
+  Time ends = 0;                 // end of its validity
+  std::uint64_t connection = 0;  // the client connection, for the message trace too
+  std::uint32_t sequence = 0;    // sequence number of its submit, for the message trace
 };
 
 class Submissions {
  public:
   struct Settings {
     std::size_t scheduled_max = 10'000, parts_max = 10'000, states_max = 10'000;
-    std::size_t bytes_max = 64 * 1024 * 1024;  // of texts of parts and scheduled messages
-    Time parts_within = 300'000'000;           // a long message is whole by then, whatever its validity
+    std::size_t bytes_max = 64 * 1024 * 1024;  // text of parts and scheduled messages
+    Time parts_within = 300'000'000;  // us; a long message must be complete by then, whatever its validity
   };
   explicit Submissions(const Settings& settings) : settings_(settings) {}
 
   // ---- Long messages ----
+  // What a part was: the first one, a further one, the one that completed the message, a duplicate, or
+  // rejected for want of capacity.
   enum class Part { first, more, whole, again, no_room };
   struct Added {
     Part part = Part::no_room;
-    std::string id;                   // of the message it belongs to
-    std::optional<Submission> whole;  // all of it, its raw text in request.body
+    std::string id;                   // the id of the message that the part belongs to
+    std::optional<Submission> whole;  // the complete message, its undecoded text in request.body
   };
-  // `key` tells senders and their references apart. The first part's submission stands for all.
-  // One client has at most half of the room, so that it can't shut the others out.
+  // `key` identifies the sender and its reference number. The submission of the first part is used for the
+  // whole message. One client may use at most half of the capacity, so that it cannot shut out the others.
   Added add_part(Time now, const std::string& key, const smpp::PartOf& part, Submission submission,
                  std::string text);
 
-  // ---- Messages that wait for their time ----
-  bool schedule(Submission& submission);  // takes it; false: no room, and it is as it was
-  // Those whose time has come, and long messages whose validity ended before they were whole.
+  // ---- Scheduled messages ----
+  bool schedule(Submission& submission);  // moves from it; false: no capacity, and it is unchanged
+  // Removes the scheduled messages that are due, and the long messages that ran out of time before they were
+  // complete.
   void due(Time now, std::vector<Submission>& start, std::vector<Submission>& never_whole);
   Time next_due() const;
-  // All that wait: the relay stops.
+  // Removes everything that waits, for when the relay stops.
   std::vector<Submission> take_all();
 
-  // ---- With the relay ----
+  // ---- Messages that the relay holds ----
+  // Records that the relay accepted the submission under this id.
   void with_relay(MessageId message, Submission submission);
+  // Removes the submission of a message that has ended.
   std::optional<Submission> ended(MessageId message);
-  std::size_t with_relay(std::uint64_t connection) const;  // of that connection
-  // Withdraws: the relay's messages under this id, or one that waits. Nothing where it is not this client's,
-  // or has ended.
+  std::size_t with_relay(
+      std::uint64_t connection) const;  // how many messages of that connection the relay holds
+  // Cancels the scheduled messages under this id, and returns those that the relay holds for the caller to
+  // cancel. Finds nothing where the id is not of this client or the messages have ended.
   struct Cancelled {
     bool found = false;
     std::vector<MessageId> messages;
   };
   Cancelled cancel(const std::string& client, const std::string& id, Time wall);
-  // Of a message that waits for its time; false where this client has none under this id.
+  // Replaces the content and times of a scheduled message; false where this client has none under this id, or
+  // the new text exceeds the limit on bytes.
   bool replace(const std::string& client, const std::string& id, Content content, std::optional<Time> starts,
                std::optional<Time> ends);
 
-  // ---- States, for query_sm ----
+  // ---- Message states, for query_sm ----
   struct State {
     std::uint8_t state = kEnroute;
-    Time wall = 0;  // of its end; 0: none yet
+    Time wall = 0;  // when it ended, us since 1970; 0: not yet
   };
   std::optional<State> state(const std::string& client, const std::string& id) const;
+  // Records a final state.
   void note_end(const std::string& client, const std::string& id, std::uint8_t state, Time wall);
 
   std::size_t held() const { return relay_.size() + scheduled_.size() + parts_.size(); }
   std::size_t bytes() const { return bytes_; }
 
  private:
-  // Several recipients of one submit_multi share an id: each message has a number of its own.
+  // Message id and a number: the recipients of one submit_multi share an id, so each message has its own
+  // number.
   using Key = std::pair<std::string, std::uint64_t>;
   std::vector<Key> scheduled(const std::string& client, const std::string& id) const;
-  struct Open {
+  struct Open {  // a long message that is not complete
     Submission submission;
     Time due = 0;
     int total = 0, have = 0;
@@ -97,20 +107,21 @@
     std::map<int, std::string> texts;
   };
   bool has_room(const std::string& client, std::size_t have, std::size_t most, std::size_t bytes) const;
+  // Changes the client's number of incomplete and scheduled messages.
   void counted(const std::string& client, int by);
 
   Settings settings_;
-  std::map<std::string, std::size_t> waiting_;  // parts and scheduled messages, by client
+  std::map<std::string, std::size_t> waiting_;  // incomplete and scheduled messages, by client
   std::map<std::string, Open> parts_;           // by key
   std::set<std::pair<Time, std::string>> parts_due_;
   std::map<Key, Submission> scheduled_;
   std::set<std::pair<Time, Key>> scheduled_due_;
   std::uint64_t next_number_ = 1;
-  std::map<MessageId, Submission> relay_;
-  std::map<std::uint64_t, std::size_t> by_connection_;
-  std::multimap<std::string, MessageId> by_id_;
+  std::map<MessageId, Submission> relay_;                      // held by the relay
+  std::map<std::uint64_t, std::size_t> by_connection_;         // number of messages in relay_
+  std::multimap<std::string, MessageId> by_id_;                // the relay's ids of a message id
   std::map<std::string, std::pair<std::string, State>> ends_;  // by id: client and state
-  std::deque<std::string> ends_order_;
+  std::deque<std::string> ends_order_;                         // oldest first
   std::size_t bytes_ = 0;
 };
 
