--- a/src/smpp/pdu.cpp
+++ b/src/smpp/pdu.cpp
@@ -7,9 +7,9 @@
 namespace cedarplank::smpp {
 namespace {
 
-constexpr std::size_t kMostTlvs = 256;        // of one PDU
-constexpr std::size_t kMostRecipients = 254;  // section 4.5.1
-constexpr std::size_t kMostText = 254;        // section 4.4.1: sm_length
+constexpr std::size_t kMaxTlvs = 256;        // of one PDU
+constexpr std::size_t kMaxRecipients = 254;  // section 4.5.1
+constexpr std::size_t kMaxText = 254;        // section 4.4.1: sm_length
 
 // A whole number, most significant byte first (section 3.1).
 template <class T>
@@ -23,10 +23,10 @@
   return value;
 }
 
-// Lengths of the values of optional parameters (section 5.3.2): from, to.
+// Length limits of the values of optional parameters (section 5.3.2).
 struct TlvBound {
   std::uint16_t tag;
-  std::size_t least, most;
+  std::size_t min, max;
 };
 constexpr TlvBound kTlvBounds[] = {
     {tag::dest_addr_subunit, 1, 1},
@@ -65,42 +65,42 @@
   return it == std::end(kTlvBounds) ? nullptr : it;
 }
 
-// Writes fields; one that does not fit is the caller's mistake.
-class Put {
+// Writes the fields of a body. Throws std::invalid_argument where one exceeds its bound.
+class FieldWriter {
  public:
-  explicit Put(std::string& out) : out_(out) {}
+  explicit FieldWriter(std::string& out) : out_(out) {}
   void u8(const char*, std::uint8_t value) { put(out_, value); }
   void u32(const char*, std::uint32_t value) { put(out_, value); }
-  void text(const char* name, const std::string& value, std::size_t most, Status) {
-    if (value.size() + 1 > most || value.find('\0') != std::string::npos)
+  void text(const char* name, const std::string& value, std::size_t max, Status) {
+    if (value.size() + 1 > max || value.find('\0') != std::string::npos)
       throw std::invalid_argument(std::string(name) + ": longer than its bound, or it holds a zero");
     out_ += value, out_ += '\0';
   }
-  // An absolute or relative time (section 7.1.1): 16 characters, or none.
+  // An absolute or relative time (section 7.1.1): 16 characters, or empty.
   void time(const char* name, const std::string& value, Status) {
     if (!value.empty() && value.size() != 16)
       throw std::invalid_argument(std::string(name) + ": neither empty nor 16 characters");
     text(name, value, 17, 0);
   }
-  void sized(const char* name, const std::string& value) {
-    if (value.size() > kMostText) throw std::invalid_argument(std::string(name) + ": longer than 254 bytes");
+  void length_prefixed(const char* name, const std::string& value) {
+    if (value.size() > kMaxText) throw std::invalid_argument(std::string(name) + ": longer than 254 bytes");
     put(out_, static_cast<std::uint8_t>(value.size()));
     out_ += value;
   }
   void tlvs(const Tlvs& tlvs) {
-    if (tlvs.size() > kMostTlvs) throw std::invalid_argument("optional parameters: too many");
+    if (tlvs.size() > kMaxTlvs) throw std::invalid_argument("optional parameters: too many");
     for (const auto& t : tlvs) {
       const auto* bound = bound_of(t.tag);
       if (t.value.size() > 65'535 ||
-          (bound != nullptr && (t.value.size() < bound->least || t.value.size() > bound->most)))
+          (bound != nullptr && (t.value.size() < bound->min || t.value.size() > bound->max)))
         throw std::invalid_argument("optional parameter " + std::to_string(t.tag) + ": wrong length");
       put(out_, t.tag), put(out_, static_cast<std::uint16_t>(t.value.size()));
       out_ += t.value;
     }
   }
   template <class T, class Each>
-  void list(const char* name, const std::vector<T>& items, std::size_t least, std::size_t most, Each each) {
-    if (items.size() < least || items.size() > most)
+  void list(const char* name, const std::vector<T>& items, std::size_t min, std::size_t max, Each each) {
+    if (items.size() < min || items.size() > max)
       throw std::invalid_argument(std::string(name) + ": too few or too many");
     put(out_, static_cast<std::uint8_t>(items.size()));
     for (const auto& item : items) each(*this, item);
@@ -111,22 +111,22 @@
   std::string& out_;
 };
 
-// Reads fields; after the first that is wrong the rest keep their defaults.
-class Take {
+// Reads the fields of a body. After the first invalid field the others keep their defaults.
+class FieldReader {
  public:
-  explicit Take(std::string_view in) : in_(in) {}
+  explicit FieldReader(std::string_view in) : in_(in) {}
   void u8(const char* name, std::uint8_t& value) {
-    if (const auto bytes = cut(name, 1); !bytes.empty()) value = static_cast<std::uint8_t>(bytes[0]);
+    if (const auto bytes = take_bytes(name, 1); !bytes.empty()) value = static_cast<std::uint8_t>(bytes[0]);
   }
   void u32(const char* name, std::uint32_t& value) {
-    if (const auto bytes = cut(name, 4); !bytes.empty()) value = big_endian(bytes);
+    if (const auto bytes = take_bytes(name, 4); !bytes.empty()) value = big_endian(bytes);
   }
-  void text(const char* name, std::string& value, std::size_t most, Status status) {
+  void text(const char* name, std::string& value, std::size_t max, Status status) {
     if (wrong_) return;
-    const auto end = in_.substr(0, most).find('\0');
+    const auto end = in_.substr(0, max).find('\0');
     if (end == std::string_view::npos)
-      return in_.size() < most ? fail(status::invalid_command_length, name, "has no end")
-                               : fail(status, name, "is longer than its bound");
+      return in_.size() < max ? fail(status::invalid_command_length, name, "is not NUL-terminated")
+                              : fail(status, name, "is longer than its bound");
     value.assign(in_.substr(0, end));
     in_.remove_prefix(end + 1);
   }
@@ -135,10 +135,10 @@
     if (!wrong_ && !value.empty() && value.size() != 16)
       fail(status, name, "is neither empty nor 16 characters");
   }
-  void sized(const char* name, std::string& value) {
+  void length_prefixed(const char* name, std::string& value) {
     std::uint8_t size = 0;
     u8(name, size);
-    if (!wrong_ && size > kMostText)
+    if (!wrong_ && size > kMaxText)
       return fail(status::invalid_message_length, name, "is longer than 254 bytes");
     if (!wrong_ && in_.size() < size)
       return fail(status::invalid_message_length, name, "is longer than what is left");
@@ -155,9 +155,9 @@
       if (in_.size() < size)
         return fail(status::invalid_tlv_stream, "an optional parameter", "is longer than what is left");
       const auto* bound = bound_of(t.tag);
-      if (bound != nullptr && (size < bound->least || size > bound->most))
+      if (bound != nullptr && (size < bound->min || size > bound->max))
         return fail(status::invalid_tlv_length, "an optional parameter", "has a wrong length");
-      if (tlvs.size() >= kMostTlvs)
+      if (tlvs.size() >= kMaxTlvs)
         return fail(status::invalid_tlv_stream, "optional parameters", "are too many");
       t.value.assign(in_.substr(0, size));
       in_.remove_prefix(size);
@@ -165,10 +165,10 @@
     }
   }
   template <class T, class Each>
-  void list(const char* name, std::vector<T>& items, std::size_t least, std::size_t most, Each each) {
+  void list(const char* name, std::vector<T>& items, std::size_t min, std::size_t max, Each each) {
     std::uint8_t n = 0;
     u8(name, n);
-    if (!wrong_ && (n < least || n > most))
+    if (!wrong_ && (n < min || n > max))
       return fail(status::invalid_destinations, name, "are too few or too many");
     for (std::size_t i = 0; !wrong_ && i < n; i++) each(*this, items.emplace_back());
   }
@@ -180,7 +180,7 @@
   static constexpr bool kReads = true;
 
  private:
-  std::string_view cut(const char* name, std::size_t n) {
+  std::string_view take_bytes(const char* name, std::size_t n) {
     if (wrong_) return {};
     if (in_.size() < n) {
       fail(status::invalid_command_length, name, "is missing");
@@ -194,22 +194,23 @@
   std::optional<Wrong> wrong_;
 };
 
-// One description of each body, for both directions. `B` is the body, const where it is written.
+// One description of each body serves both directions: `V` is FieldWriter or FieldReader; `B` is the body,
+// const when it is written.
 template <class B, class T>
-concept Is = std::is_same_v<std::remove_const_t<B>, T>;
+concept SameBody = std::is_same_v<std::remove_const_t<B>, T>;
 
-constexpr std::size_t kAddress = 21, kLongAddress = 65;
+constexpr std::size_t kAddressMax = 21, kLongAddressMax = 65;
 template <class V, class A>
-void address(V& v, const char* name, A& a, std::size_t most, Status status) {
-  v.u8(name, a.ton), v.u8(name, a.npi), v.text(name, a.digits, most, status);
+void address(V& v, const char* name, A& a, std::size_t max, Status status) {
+  v.u8(name, a.ton), v.u8(name, a.npi), v.text(name, a.digits, max, status);
 }
 template <class V, class A>
-void source(V& v, A& a, std::size_t most = kAddress) {
-  address(v, "source_addr", a, most, status::invalid_source);
+void source(V& v, A& a, std::size_t max = kAddressMax) {
+  address(v, "source_addr", a, max, status::invalid_source);
 }
 template <class V, class A>
-void destination(V& v, A& a, std::size_t most = kAddress) {
-  address(v, "destination_addr", a, most, status::invalid_destination);
+void destination(V& v, A& a, std::size_t max = kAddressMax) {
+  address(v, "destination_addr", a, max, status::invalid_destination);
 }
 template <class V, class T>
 void service_type(V& v, T& t) {
@@ -220,9 +221,9 @@
   v.text("message_id", t, 65, status::invalid_message_id);
 }
 
-template <class V, Is<Empty> B>
+template <class V, SameBody<Empty> B>
 void fields(V&, B&) {}
-template <class V, Is<Bind> B>
+template <class V, SameBody<Bind> B>
 void fields(V& v, B& b) {
   v.text("system_id", b.system_id, 16, status::invalid_system_id);
   v.text("password", b.password, 9, status::wrong_password);
@@ -230,53 +231,53 @@
   v.u8("interface_version", b.interface_version);
   address(v, "address_range", b.range, 41, status::bind_failed);
 }
-template <class V, Is<BindResp> B>
+template <class V, SameBody<BindResp> B>
 void fields(V& v, B& b) {
   v.text("system_id", b.system_id, 16, status::invalid_system_id);
   v.tlvs(b.tlvs);
 }
-template <class V, Is<Outbind> B>
+template <class V, SameBody<Outbind> B>
 void fields(V& v, B& b) {
   v.text("system_id", b.system_id, 16, status::invalid_system_id);
   v.text("password", b.password, 9, status::wrong_password);
 }
-// What submit_sm and submit_multi have after the destination.
+// The fields that submit_sm and submit_multi have after the destination.
 template <class V, class B>
-void message_rest(V& v, B& b) {
+void message_tail(V& v, B& b) {
   v.u8("esm_class", b.esm_class), v.u8("protocol_id", b.protocol_id), v.u8("priority_flag", b.priority);
   v.time("schedule_delivery_time", b.schedule, status::invalid_schedule);
   v.time("validity_period", b.validity, status::invalid_validity);
   v.u8("registered_delivery", b.registered_delivery);
   v.u8("replace_if_present_flag", b.replace_if_present), v.u8("data_coding", b.data_coding);
   v.u8("sm_default_msg_id", b.default_message);
-  v.sized("short_message", b.text);
+  v.length_prefixed("short_message", b.text);
   v.tlvs(b.tlvs);
 }
-template <class V, Is<Message> B>
+template <class V, SameBody<Message> B>
 void fields(V& v, B& b) {
   service_type(v, b.service_type);
   source(v, b.source), destination(v, b.destination);
-  message_rest(v, b);
+  message_tail(v, b);
 }
-template <class V, Is<MessageResp> B>
+template <class V, SameBody<MessageResp> B>
 void fields(V& v, B& b) {
   message_id(v, b.message_id);
   v.tlvs(b.tlvs);
 }
-template <class V, Is<Multi> B>
+template <class V, SameBody<Multi> B>
 void fields(V& v, B& b) {
   service_type(v, b.message.service_type);
   source(v, b.message.source);
-  v.list("dest_address", b.recipients, 1, kMostRecipients, [](V& w, auto& r) {
+  v.list("dest_address", b.recipients, 1, kMaxRecipients, [](V& w, auto& r) {
     std::uint8_t kind = r.list.empty() ? 1 : 2;
     w.u8("dest_flag", kind);
     if (kind == 1) return destination(w, r.address);
     if (kind == 2) return w.text("dl_name", r.list, 21, status::invalid_list_name);
     if constexpr (V::kReads) w.fail(status::invalid_destinations, "dest_flag", "is neither 1 nor 2");
   });
-  message_rest(v, b.message);
+  message_tail(v, b.message);
 }
-template <class V, Is<MultiResp> B>
+template <class V, SameBody<MultiResp> B>
 void fields(V& v, B& b) {
   message_id(v, b.message_id);
   v.list("unsuccess_sme", b.failed, 0, 255, [](V& w, auto& f) {
@@ -285,95 +286,95 @@
   });
   v.tlvs(b.tlvs);
 }
-template <class V, Is<Data> B>
+template <class V, SameBody<Data> B>
 void fields(V& v, B& b) {
   service_type(v, b.service_type);
-  source(v, b.source, kLongAddress), destination(v, b.destination, kLongAddress);
+  source(v, b.source, kLongAddressMax), destination(v, b.destination, kLongAddressMax);
   v.u8("esm_class", b.esm_class), v.u8("registered_delivery", b.registered_delivery);
   v.u8("data_coding", b.data_coding);
   v.tlvs(b.tlvs);
 }
-template <class V, Is<Query> B>
+template <class V, SameBody<Query> B>
 void fields(V& v, B& b) {
   message_id(v, b.message_id);
   source(v, b.source);
 }
-template <class V, Is<QueryResp> B>
+template <class V, SameBody<QueryResp> B>
 void fields(V& v, B& b) {
   message_id(v, b.message_id);
   v.time("final_date", b.final_date, status::query_failed);
   v.u8("message_state", b.message_state), v.u8("error_code", b.error_code);
 }
-template <class V, Is<Cancel> B>
+template <class V, SameBody<Cancel> B>
 void fields(V& v, B& b) {
   service_type(v, b.service_type);
   message_id(v, b.message_id);
   source(v, b.source), destination(v, b.destination);
 }
-template <class V, Is<Replace> B>
+template <class V, SameBody<Replace> B>
 void fields(V& v, B& b) {
   message_id(v, b.message_id);
   source(v, b.source);
   v.time("schedule_delivery_time", b.schedule, status::invalid_schedule);
   v.time("validity_period", b.validity, status::invalid_validity);
   v.u8("registered_delivery", b.registered_delivery), v.u8("sm_default_msg_id", b.default_message);
-  v.sized("short_message", b.text);
+  v.length_prefixed("short_message", b.text);
 }
-template <class V, Is<Alert> B>
+template <class V, SameBody<Alert> B>
 void fields(V& v, B& b) {
-  source(v, b.source, kLongAddress);
-  address(v, "esme_addr", b.esme, kLongAddress, status::invalid_destination);
+  source(v, b.source, kLongAddressMax);
+  address(v, "esme_addr", b.esme, kLongAddressMax, status::invalid_destination);
   v.tlvs(b.tlvs);
 }
 
-struct Known {
+struct CommandInfo {
   Command command;
   const char* name;
-  Body (*fresh)();
+  Body (*empty_body)();
 };
 template <class B>
-Body fresh() {
+Body empty_body() {
   return B{};
 }
-constexpr Known kCommands[] = {
-    {Command::bind_receiver, "bind_receiver", fresh<Bind>},
-    {Command::bind_transmitter, "bind_transmitter", fresh<Bind>},
-    {Command::query_sm, "query_sm", fresh<Query>},
-    {Command::submit_sm, "submit_sm", fresh<Message>},
-    {Command::deliver_sm, "deliver_sm", fresh<Message>},
-    {Command::unbind, "unbind", fresh<Empty>},
-    {Command::replace_sm, "replace_sm", fresh<Replace>},
-    {Command::cancel_sm, "cancel_sm", fresh<Cancel>},
-    {Command::bind_transceiver, "bind_transceiver", fresh<Bind>},
-    {Command::outbind, "outbind", fresh<Outbind>},
-    {Command::enquire_link, "enquire_link", fresh<Empty>},
-    {Command::submit_multi, "submit_multi", fresh<Multi>},
-    {Command::alert_notification, "alert_notification", fresh<Alert>},
-    {Command::data_sm, "data_sm", fresh<Data>},
-    {Command::generic_nack, "generic_nack", fresh<Empty>},
-    {Command::bind_receiver_resp, "bind_receiver_resp", fresh<BindResp>},
-    {Command::bind_transmitter_resp, "bind_transmitter_resp", fresh<BindResp>},
-    {Command::query_sm_resp, "query_sm_resp", fresh<QueryResp>},
-    {Command::submit_sm_resp, "submit_sm_resp", fresh<MessageResp>},
-    {Command::deliver_sm_resp, "deliver_sm_resp", fresh<MessageResp>},
-    {Command::unbind_resp, "unbind_resp", fresh<Empty>},
-    {Command::replace_sm_resp, "replace_sm_resp", fresh<Empty>},
-    {Command::cancel_sm_resp, "cancel_sm_resp", fresh<Empty>},
-    {Command::bind_transceiver_resp, "bind_transceiver_resp", fresh<BindResp>},
-    {Command::enquire_link_resp, "enquire_link_resp", fresh<Empty>},
-    {Command::submit_multi_resp, "submit_multi_resp", fresh<MultiResp>},
-    {Command::data_sm_resp, "data_sm_resp", fresh<MessageResp>},
+constexpr CommandInfo kCommands[] = {
+    {Command::bind_receiver, "bind_receiver", empty_body<Bind>},
+    {Command::bind_transmitter, "bind_transmitter", empty_body<Bind>},
+    {Command::query_sm, "query_sm", empty_body<Query>},
+    {Command::submit_sm, "submit_sm", empty_body<Message>},
+    {Command::deliver_sm, "deliver_sm", empty_body<Message>},
+    {Command::unbind, "unbind", empty_body<Empty>},
+    {Command::replace_sm, "replace_sm", empty_body<Replace>},
+    {Command::cancel_sm, "cancel_sm", empty_body<Cancel>},
+    {Command::bind_transceiver, "bind_transceiver", empty_body<Bind>},
+    {Command::outbind, "outbind", empty_body<Outbind>},
+    {Command::enquire_link, "enquire_link", empty_body<Empty>},
+    {Command::submit_multi, "submit_multi", empty_body<Multi>},
+    {Command::alert_notification, "alert_notification", empty_body<Alert>},
+    {Command::data_sm, "data_sm", empty_body<Data>},
+    {Command::generic_nack, "generic_nack", empty_body<Empty>},
+    {Command::bind_receiver_resp, "bind_receiver_resp", empty_body<BindResp>},
+    {Command::bind_transmitter_resp, "bind_transmitter_resp", empty_body<BindResp>},
+    {Command::query_sm_resp, "query_sm_resp", empty_body<QueryResp>},
+    {Command::submit_sm_resp, "submit_sm_resp", empty_body<MessageResp>},
+    {Command::deliver_sm_resp, "deliver_sm_resp", empty_body<MessageResp>},
+    {Command::unbind_resp, "unbind_resp", empty_body<Empty>},
+    {Command::replace_sm_resp, "replace_sm_resp", empty_body<Empty>},
+    {Command::cancel_sm_resp, "cancel_sm_resp", empty_body<Empty>},
+    {Command::bind_transceiver_resp, "bind_transceiver_resp", empty_body<BindResp>},
+    {Command::enquire_link_resp, "enquire_link_resp", empty_body<Empty>},
+    {Command::submit_multi_resp, "submit_multi_resp", empty_body<MultiResp>},
+    {Command::data_sm_resp, "data_sm_resp", empty_body<MessageResp>},
 };
-const Known* known(Command command) {
+const CommandInfo* command_info(Command command) {
   const auto it = std::find_if(std::begin(kCommands), std::end(kCommands),
-                               [&](const Known& k) { return k.command == command; });
+                               [&](const CommandInfo& k) { return k.command == command; });
   return it == std::end(kCommands) ? nullptr : it;
 }
 
 }  // namespace
 
 const char* name_of(Command command) {
-  const auto* k = known(command);
+  const auto* k = command_info(command);
   return k == nullptr ? "" : k->name;
 }
 
@@ -452,25 +453,25 @@
 }
 
 void encode(const Pdu& pdu, std::string& out) {
-  const auto* k = known(pdu.command);
-  if (k == nullptr) throw std::invalid_argument("command_id: not known");
-  if (k->fresh().index() != pdu.body.index())
-    throw std::invalid_argument(std::string(k->name) + ": the body is another command's");
-  const std::size_t from = out.size();
+  const auto* k = command_info(pdu.command);
+  if (k == nullptr) throw std::invalid_argument("command_id: unknown");
+  if (k->empty_body().index() != pdu.body.index())
+    throw std::invalid_argument(std::string(k->name) + ": the body belongs to another command");
+  const std::size_t start = out.size();
   put(out, std::uint32_t{0});
   put(out, static_cast<std::uint32_t>(pdu.command)), put(out, pdu.status), put(out, pdu.sequence);
-  // Section 4.4.2: a response that tells an error has no body, unless it has more to tell (4.7.2).
-  const bool bare = is_response(pdu.command) && pdu.status != status::ok && pdu.body == k->fresh();
+  // Section 4.4.2: a response with an error status has no body, unless its fields are set (4.7.2).
+  const bool omit_body = is_response(pdu.command) && pdu.status != status::ok && pdu.body == k->empty_body();
   try {
-    Put v(out);
-    if (!bare) std::visit([&](const auto& body) { fields(v, body); }, pdu.body);
+    FieldWriter v(out);
+    if (!omit_body) std::visit([&](const auto& body) { fields(v, body); }, pdu.body);
   } catch (...) {
-    out.resize(from);
+    out.resize(start);
     throw;
   }
   std::string length;
-  put(length, static_cast<std::uint32_t>(out.size() - from));
-  out.replace(from, 4, length);
+  put(length, static_cast<std::uint32_t>(out.size() - start));
+  out.replace(start, 4, length);
 }
 
 std::variant<Pdu, Wrong> decode(std::string_view bytes, Pdu* header) {
@@ -480,14 +481,14 @@
   pdu.command = static_cast<Command>(big_endian(bytes.substr(4, 4)));
   pdu.status = big_endian(bytes.substr(8, 4)), pdu.sequence = big_endian(bytes.substr(12, 4));
   if (header != nullptr) *header = pdu;
-  const auto* k = known(pdu.command);
-  if (k == nullptr) return Wrong{status::invalid_command, "command_id is not known"};
-  pdu.body = k->fresh();
-  Take v(bytes.substr(kHeader));
+  const auto* k = command_info(pdu.command);
+  if (k == nullptr) return Wrong{status::invalid_command, "command_id is unknown"};
+  pdu.body = k->empty_body();
+  FieldReader v(bytes.substr(kHeader));
   const bool error = is_response(pdu.command) && pdu.status != status::ok;
-  // Peers leave the message_id of these out, which says nothing (sections 4.6.2 and 4.7.2).
-  const bool idle = pdu.command == Command::deliver_sm_resp || pdu.command == Command::data_sm_resp;
-  if (!(v.empty() && (error || idle))) std::visit([&](auto& body) { fields(v, body); }, pdu.body);
+  // Peers leave out the message_id of these, which carries no information (sections 4.6.2 and 4.7.2).
+  const bool body_optional = pdu.command == Command::deliver_sm_resp || pdu.command == Command::data_sm_resp;
+  if (!(v.empty() && (error || body_optional))) std::visit([&](auto& body) { fields(v, body); }, pdu.body);
   if (!v.wrong() && !v.empty()) v.fail(status::invalid_command_length, "the PDU", "has bytes after its body");
   if (v.wrong()) return *v.wrong();
   return pdu;
@@ -497,7 +498,8 @@
   if (at_ > 0 && (at_ == bytes_.size() || at_ > 64 * 1024)) bytes_.erase(0, at_), at_ = 0;
   if (failed_ || bytes_.size() - at_ < 4) return std::nullopt;
   const std::size_t length = big_endian(std::string_view(bytes_).substr(at_, 4));
-  // Told by its first four bytes: nobody makes this side wait for, or hold, 4 GB.
+  // Checked as soon as the first four bytes are there, so that a peer cannot make this side wait for, or
+  // buffer, 4 GB.
   if (length < kHeader || length > most_) {
     failed_ = true;
     return std::nullopt;
--- a/src/smpp/pdu.hpp
+++ b/src/smpp/pdu.hpp
@@ -1,9 +1,9 @@
-// SMPP v3.4 protocol data units, with what peers expect of v5.0: structures, encoding and decoding. Free of
-// I/O.
+// SMPP v3.4 protocol data units, with the parts of v5.0 that peers expect: structures, encoding and decoding.
+// Does no I/O.
 //
 // Source: "SMPP Protocol Specification v3.4", SMPP Developers Forum, 1999 (below: section numbers alone), and
 // "Short Message Peer-to-Peer Protocol Specification Version 5.0", 2003 (below: v5). Every length that a peer
-// states is checked against the specification's bound before anything is taken from it.
+// states is checked against the specification's bound before anything is read.
 #pragma once
 
 #include <cstdint>
@@ -48,7 +48,7 @@
   submit_multi_resp = 0x8000'0021,
   data_sm_resp = 0x8000'0103
 };
-// Empty where the id is not known.
+// The command's name in the specification; empty where the id is unknown.
 const char* name_of(Command command);
 constexpr bool is_response(Command c) { return (static_cast<std::uint32_t>(c) & kResponse) != 0; }
 constexpr Command response_to(Command c) {
@@ -56,7 +56,7 @@
 }
 
 using Status = std::uint32_t;
-namespace status {  // section 5.1.3; those that this program gives or acts on
+namespace status {  // section 5.1.3; the ones that this program sends or handles
 constexpr Status ok = 0x0, invalid_message_length = 0x1, invalid_command_length = 0x2, invalid_command = 0x3,
                  wrong_bind_state = 0x4, already_bound = 0x5, invalid_priority = 0x6,
                  invalid_registered_delivery = 0x7, system_error = 0x8, invalid_source = 0xa,
@@ -72,10 +72,10 @@
                  invalid_tlv_stream = 0xc0, tlv_not_allowed = 0xc1, invalid_tlv_length = 0xc2,
                  missing_tlv = 0xc3, invalid_tlv_value = 0xc4, delivery_failure = 0xfe, unknown_error = 0xff;
 }  // namespace status
-// The specification's name, as ESME_RTHROTTLED; empty for reserved and vendors' own.
+// The name in the specification, for example ESME_RTHROTTLED; empty for reserved and vendor-specific ones.
 const char* name_of(Status status);
 
-struct Tlv {  // section 3.2.4.1
+struct Tlv {  // optional parameter (tag, length, value), section 3.2.4.1
   std::uint16_t tag = 0;
   std::string value;
   bool operator==(const Tlv&) const = default;
@@ -96,25 +96,27 @@
                         congestion_state = 0x0428,  // v5 section 4.8.4.18
     its_session_info = 0x1383;
 }  // namespace tag
+// The first one with this tag; null where there is none.
 const Tlv* find(const Tlvs& tlvs, std::uint16_t tag);
-// The value of a one-, two- or four-byte TLV; nothing where it is missing.
+// The value of a TLV of one to four bytes as a number; nothing where it is missing or has another length.
 std::optional<std::uint32_t> number(const Tlvs& tlvs, std::uint16_t tag);
+// A TLV whose value is a number of this many bytes.
 Tlv tlv(std::uint16_t tag, std::uint32_t value, int bytes);
 
 struct Address {
-  std::uint8_t ton = 0, npi = 0;
+  std::uint8_t ton = 0, npi = 0;  // type of number, numbering plan indicator
   std::string digits;
   bool operator==(const Address&) const = default;
 };
 
-// Bodies, section 4. Texts are C-octet strings without their final zero.
+// PDU bodies, section 4. Strings are C-octet strings without the terminating NUL.
 struct Empty {
   bool operator==(const Empty&) const = default;
 };
 struct Bind {  // 4.1.1, 4.1.3, 4.1.5
   std::string system_id, password, system_type;
   std::uint8_t interface_version = 0x34;
-  Address range;
+  Address range;  // address_range
   bool operator==(const Bind&) const = default;
 };
 struct BindResp {
@@ -143,7 +145,7 @@
 };
 struct Recipient {  // 4.5.1.1: an address, or a distribution list
   Address address;
-  std::string list;  // empty: the address
+  std::string list;  // name of the distribution list; empty: it is an address
   bool operator==(const Recipient&) const = default;
 };
 struct Multi {  // submit_multi 4.5.1; message.destination is not used
@@ -207,29 +209,30 @@
   Body body;
 };
 
-// Appends the PDU. Throws std::invalid_argument, naming the field, where one does not fit its bound or the
-// body is not that command's: a mistake of the caller.
+// Appends the encoded PDU to `out`. Throws std::invalid_argument, naming the field, where a field exceeds its
+// bound or the body is not of that command, both of which are errors of the caller.
 void encode(const Pdu& pdu, std::string& out);
 
-struct Wrong {                 // why bytes are no PDU
-  Status status = status::ok;  // to answer with
-  std::string what;            // names the field
+struct Wrong {                 // a decoding error
+  Status status = status::ok;  // the status to answer with
+  std::string what;            // description; names the field
 };
-// One whole PDU, of which `command_length` is right. The header's command, status and sequence are set even
-// where the body is wrong. A response with an error may lack its body (section 4.4.2).
+// Decodes one complete PDU, whose command_length must be its size. Sets command, status and sequence of
+// `header` even where the body is invalid. A response with an error status may lack its body (section 4.4.2).
 std::variant<Pdu, Wrong> decode(std::string_view bytes, Pdu* header = nullptr);
 
-// Cuts a stream of bytes into PDUs.
+// Splits a byte stream into PDUs.
 class Framer {
  public:
-  // A PDU longer than `most` ends the stream: 64 KiB of message_payload and the rest of a data_sm fit by
-  // default.
+  // A PDU longer than `most` bytes is an error. By default a data_sm with a message_payload of 64 KiB fits.
   explicit Framer(std::size_t most = 70'000) : most_(most) {}
   void receive(std::string_view bytes) { bytes_.append(bytes); }
-  // The next whole PDU's bytes; good until the next call. Nothing where more must come, or after a failure.
+  // The bytes of the next complete PDU, valid until the next call. Nothing where more bytes are needed, or
+  // after a failure.
   std::optional<std::string_view> next();
-  // command_length is out of bounds (section 3.2): nothing after it can be read.
+  // A command_length was out of bounds (section 3.2), so nothing after it can be read.
   bool failed() const { return failed_; }
+  // Bytes received and not yet returned.
   std::size_t held() const { return bytes_.size() - at_; }
 
  private:
--- a/src/sms/submissions.cpp
+++ b/src/sms/submissions.cpp
@@ -65,7 +65,7 @@
   return true;
 }
 
-void Submissions::due(Time now, std::vector<Submission>& start, std::vector<Submission>& never_whole) {
+void Submissions::due(Time now, std::vector<Submission>& start, std::vector<Submission>& incomplete) {
   while (!scheduled_due_.empty() && scheduled_due_.begin()->first <= now) {
     const auto it = scheduled_.find(scheduled_due_.begin()->second);
     scheduled_due_.erase(scheduled_due_.begin());
@@ -79,7 +79,7 @@
     parts_due_.erase(parts_due_.begin());
     bytes_ -= it->second.bytes;
     counted(it->second.submission.client, -1);
-    never_whole.push_back(std::move(it->second.submission));
+    incomplete.push_back(std::move(it->second.submission));
     parts_.erase(it);
   }
 }
--- a/src/sms/submissions.hpp
+++ b/src/sms/submissions.hpp
@@ -58,7 +58,7 @@
   bool schedule(Submission& submission);  // moves from it; false: no capacity, and it is unchanged
   // Removes the scheduled messages that are due, and the long messages that ran out of time before they were
   // complete.
-  void due(Time now, std::vector<Submission>& start, std::vector<Submission>& never_whole);
+  void due(Time now, std::vector<Submission>& start, std::vector<Submission>& incomplete);
   Time next_due() const;
   // Removes everything that waits, for when the relay stops.
   std::vector<Submission> take_all();
@@ -68,8 +68,8 @@
   void with_relay(MessageId message, Submission submission);
   // Removes the submission of a message that has ended.
   std::optional<Submission> ended(MessageId message);
-  std::size_t with_relay(
-      std::uint64_t connection) const;  // how many messages of that connection the relay holds
+  // How many messages of that connection the relay holds.
+  std::size_t with_relay(std::uint64_t connection) const;
   // Cancels the scheduled messages under this id, and returns those that the relay holds for the caller to
   // cancel. Finds nothing where the id is not of this client or the messages have ended.
   struct Cancelled {
