--- a/src/smpp/session.cpp
+++ b/src/smpp/session.cpp
@@ -6,6 +6,7 @@
 namespace cedarplank::smpp {
 namespace {
 
+// Number of expired requests remembered, so that late responses are recognized.
 constexpr std::size_t kExpiredKept = 4096;
 
 bool is_bind(Command c) {
@@ -51,7 +52,7 @@
   return out;
 }
 
-// Section 5.1.4: 1 to 0x7fffffff, then from 1 again; a number whose response may still come is passed over.
+// Section 5.1.4: 1 to 0x7fffffff, then from 1 again. Skips numbers whose responses may still come.
 std::uint32_t Session::next_sequence() {
   while (out_.count(next_) > 0 || expired_.count(next_) > 0) next_ = next_ >= kMostSequence ? 1 : next_ + 1;
   const auto n = next_;
@@ -72,7 +73,8 @@
   state_ = state_of(bind_->command);
   peer_ = std::get<Bind>(bind_->body);
   BindResp resp{system_id, {}};
-  // Section 4.1.2: told where the peer can read it. What v5 adds is not all here: 3.4 is what is spoken.
+  // Section 4.1.2: sc_interface_version, sent only to peers whose version has optional parameters. It
+  // says 3.4, because v5.0 is implemented only in part.
   if (peer_.interface_version >= 0x34) resp.tlvs.push_back(tlv(tag::sc_interface_version, 0x34, 1));
   send({response_to(bind_->command), status::ok, bind_->sequence, std::move(resp)});
   bind_.reset();
@@ -86,9 +88,9 @@
 }
 
 bool Session::can_request(std::size_t requests) const {
-  const bool way = role_ == Role::esme ? state_ == State::transmitter || state_ == State::transceiver
-                                       : state_ == State::receiver || state_ == State::transceiver;
-  return way && out_.size() + requests <= settings_.window;
+  const bool allowed = role_ == Role::esme ? state_ == State::transmitter || state_ == State::transceiver
+                                           : state_ == State::receiver || state_ == State::transceiver;
+  return allowed && out_.size() + requests <= settings_.window;
 }
 
 std::uint32_t Session::request(Time now, Command command, Body body) {
@@ -163,15 +165,16 @@
     take(now, *pdu, events);
   }
   if (state_ != State::closed && framer_.failed()) {
-    // Section 5.1.3: told, though nothing after it can be read; the sequence number is not known.
+    // Section 5.1.3: reported to the peer, although nothing after it can be read. The sequence number is
+    // unknown.
     send({Command::generic_nack, status::invalid_command_length, 0, Empty{}});
     fail("command_length is out of bounds", events);
   }
 }
 
 void Session::mistake(const Pdu& header, const Wrong& wrong, std::vector<Event>& events) {
-  // Section 4.3: a request that can't be read as one gets generic_nack; one whose body is wrong, its own
-  // response. Nothing answers a response.
+  // Section 4.3: an unknown command gets generic_nack; a request with an invalid body gets its own response
+  // type. Responses are never answered.
   if (!is_response(header.command)) {
     const bool known = *name_of(header.command) != '\0';
     Pdu pdu{Command::generic_nack, wrong.status, header.sequence, Empty{}};
@@ -196,7 +199,7 @@
   auto read = decode(bytes, &header);
   std::string what;
   if (const auto* wrong = std::get_if<Wrong>(&read)) {
-    // Its number tells what it answers: that one ends, though not all that was said can be read.
+    // The sequence number still identifies the request, which is completed although the body is invalid.
     if (!is_response(header.command) || *name_of(header.command) == '\0')
       return mistake(header, *wrong, events);
     what = wrong->what;
@@ -221,7 +224,7 @@
       if (role_ == Role::esme && state_ == State::open && !bind_)
         events.push_back({Event::Type::outbind, std::move(pdu), {}});
       else
-        mistake(pdu, {status::wrong_bind_state, "outbind is not for this state"}, events);
+        mistake(pdu, {status::wrong_bind_state, "outbind is not allowed in this state"}, events);
       return;
     default:
       return take_request(now, pdu, events);
@@ -229,17 +232,17 @@
 }
 
 void Session::take_bind(Pdu& pdu, std::vector<Event>& events) {
-  const auto turn_down = [&](Status why) {
+  const auto refuse = [&](Status why) {
     send({response_to(pdu.command), why, pdu.sequence, BindResp{}});
-    events.push_back({Event::Type::mistake, pdu, "a bind that is not for this state"});
+    events.push_back({Event::Type::mistake, pdu, "bind is not allowed in this state"});
   };
-  if (role_ != Role::smsc) return turn_down(status::invalid_command);
-  if (state_ != State::open || bind_) return turn_down(status::already_bound);
+  if (role_ != Role::smsc) return refuse(status::invalid_command);
+  if (state_ != State::open || bind_) return refuse(status::already_bound);
   bind_ = pdu;
   events.push_back({Event::Type::bind, std::move(pdu), {}});
 }
 
-// Section 2.3: which side may ask what, in which state.
+// Section 2.3: which requests each side may send in which state.
 bool Session::may_ask(Command c) const {
   const bool transmits = state_ == State::transmitter || state_ == State::transceiver,
              receives = state_ == State::receiver || state_ == State::transceiver;
@@ -274,14 +277,14 @@
   }
   message_at_ = now;
   owed_.insert(pdu.sequence);
-  // A peer that sends on without waiting for answers is held back, not fed into memory.
+  // A peer that keeps sending without waiting for responses is throttled, so that memory use stays bounded.
   if (owed_.size() > settings_.peer_window) return respond(pdu, status::throttled);
   events.push_back({Event::Type::request, std::move(pdu), {}});
 }
 
 void Session::take_response(Time now, Pdu& pdu, std::string what, std::vector<Event>& events) {
   if (enquiry_ && pdu.sequence == enquiry_->first) {
-    enquiry_.reset();  // also by generic_nack: whoever says that it knows no enquire_link lives
+    enquiry_.reset();  // also for generic_nack: a peer that does not know enquire_link is alive
     events.push_back({Event::Type::alive, std::move(pdu), {}});
     return;
   }
@@ -293,8 +296,8 @@
     return;
   }
   if (role_ == Role::esme && bind_ && pdu.sequence == bind_->sequence && state_ == State::open) {
-    const bool right = pdu.command == response_to(bind_->command);
-    if (right && pdu.status == status::ok) {
+    const bool matches = pdu.command == response_to(bind_->command);
+    if (matches && pdu.status == status::ok) {
       state_ = state_of(bind_->command);
       message_at_ = now;
       bind_.reset();
@@ -311,9 +314,9 @@
     events.push_back({known ? Event::Type::late : Event::Type::stray, std::move(pdu), std::move(what)});
     return;
   }
-  // A response to something else than was asked under that number answers nothing.
+  // A response of another type than the request with this number does not answer it.
   if (pdu.command != Command::generic_nack && pdu.command != response_to(it->second.command)) {
-    events.push_back({Event::Type::stray, std::move(pdu), "another command's response"});
+    events.push_back({Event::Type::stray, std::move(pdu), "response to another command"});
     return;
   }
   const auto type = it->second.abandoned ? Event::Type::late : Event::Type::response;
@@ -352,7 +355,8 @@
     const auto n = due_.begin()->second;
     const bool abandoned = out_.at(n).abandoned;
     forget(n);
-    // Its number is not used again for a while: the response may still come, and must not answer another.
+    // The number is not reused for a while: the response may still come, and must not be matched to another
+    // request.
     if (expired_.insert(n).second) expired_order_.push_back(n);
     if (expired_order_.size() > kExpiredKept) {
       for (std::size_t i = 0; i < kExpiredKept / 2; i++) expired_.erase(expired_order_[i]);
@@ -366,7 +370,8 @@
   maybe_unbound(events);
   if (state_ == State::closed) return;
   if (enquiry_ && now >= enquiry_->second) {
-    // Not while anything else comes: an answer lost among submits says nothing of the link.
+    // The session fails only if nothing else arrived either: a missing response while submits flow does not
+    // mean that the connection is dead.
     if (heard_at_ <= enquiry_->second - settings_.response)
       return fail("enquire_link was not answered", events);
     enquiry_.reset();
--- a/src/smpp/session.hpp
+++ b/src/smpp/session.hpp
@@ -1,8 +1,8 @@
-// One SMPP session (v3.4 section 2.2), either side of it: states, sequence numbers, the window of requests
-// without their responses, and timers (section 7.2). Free of I/O and clock: bytes in, events out; calls in,
-// bytes out.
+// Protocol engine of one SMPP session (v3.4 section 2.2), for either side: states, sequence numbers, the
+// window of outstanding requests, and timers (section 7.2). Does no I/O and reads no clock: received bytes
+// produce events, and calls produce bytes to send.
 //
-// All times are in microseconds of one monotonic clock that the host passes in.
+// All times are in microseconds of one monotonic clock, which the caller passes in.
 #pragma once
 
 #include <cstdint>
@@ -26,33 +26,33 @@
 const char* name_of(State state);
 
 struct SessionSettings {
-  Time session_init = 5'000'000;   // from the connection until it is bound
-  Time enquire_after = 0;          // nothing heard for so long: enquire_link; 0: never
-  Time inactivity = 0;             // no message for so long: unbind; 0: never
-  Time response = 10'000'000;      // until a request's response
-  std::size_t window = 64;         // own requests without their responses
-  std::size_t peer_window = 1000;  // the peer's; one more is throttled
-  std::size_t mistakes_max = 16;   // PDUs in a row that can't be read: then the session ends
-  std::size_t most_pdu = 70'000;
+  Time session_init = 5'000'000;   // limit from the connection until it is bound
+  Time enquire_after = 0;          // enquire_link after this long without any received bytes; 0: never
+  Time inactivity = 0;             // unbind after this long without a message; 0: never
+  Time response = 10'000'000;      // limit for the response to a request
+  std::size_t window = 64;         // own requests that may be outstanding
+  std::size_t peer_window = 1000;  // the peer's requests that may be outstanding; further ones are throttled
+  std::size_t mistakes_max = 16;   // the session fails after this many invalid PDUs in a row
+  std::size_t most_pdu = 70'000;   // longest PDU, bytes
 };
 
 struct Event {
   enum class Type {
-    bind,      // smsc: to be answered by accept() or reject(); `pdu`
-    outbind,   // esme: the message centre asks for a bind; `pdu`
+    bind,      // smsc: a bind request, to be answered by accept() or reject(); `pdu`
+    outbind,   // esme: the message centre asks the client to bind; `pdu`
     bound,     // esme: the bind was accepted; `pdu`
-    refused,   // esme: the bind was refused, for pdu.status
-    request,   // a message or its like, to be answered by respond(); `pdu`
-    alert,     // alert_notification, which has no answer
-    response,  // to an own request (pdu.sequence), or generic_nack; `what` where its body can't be read
+    refused,   // esme: the bind was refused with pdu.status
+    request,   // a message or an operation on one, to be answered by respond(); `pdu`
+    alert,     // alert_notification, which has no response
+    response,  // response or generic_nack to an own request (pdu.sequence); `what` if its body is invalid
     late,      // a response to a request that was abandoned or had expired
-    stray,     // a response that answers nothing: a duplicate, or to a number never used
-    expired,   // no response came in time to the own request `pdu.sequence`
+    stray,     // a response without a matching request: a duplicate, or an unused sequence number
+    expired,   // the own request `pdu.sequence` got no response in time
     alive,     // enquire_link was answered
-    unbind,    // the peer unbinds: no new requests; answered once own ones have their responses
-    unbound,   // either unbind is complete: the connection may close
-    mistake,   // a PDU of the peer could not be taken; answered already; `what`
-    failed     // the session can't go on; `what`
+    unbind,    // the peer unbinds: no new requests; answered once no own request is outstanding
+    unbound,   // an unbind of either side is complete: the connection may close
+    mistake,   // an invalid PDU of the peer, already answered if it was a request; `what`
+    failed     // the session has failed and is closed; `what`
   };
   Type type{};
   Pdu pdu;
@@ -63,26 +63,27 @@
  public:
   Session(Role role, const SessionSettings& settings, Time now);
 
-  // Esme: asks to be bound; as transmitter, receiver or transceiver.
+  // Esme: sends a bind request as transmitter, receiver or transceiver.
   void bind(Time now, Command how, const Bind& as);
-  // Smsc: answers the bind that came.
+  // Smsc: answers the bind request that was received.
   void accept(Time now, const std::string& system_id);
   void reject(Status status);
 
-  // An own request; its number. Not to be called where can_request() is false. Throws std::invalid_argument
-  // where a field does not fit, and nothing is sent.
+  // Sends a request and returns its sequence number. Must not be called while can_request() is false. Throws
+  // std::invalid_argument where a field exceeds its bound; nothing is sent then.
   std::uint32_t request(Time now, Command command, Body body);
-  // For `requests` more at once: bound for that direction, and room in the window.
+  // Whether `requests` more may be sent at once: bound for that direction, and the window has capacity.
   bool can_request(std::size_t requests = 1) const;
-  // Its response no longer matters: it is told as `late`. It keeps its place in the window until then.
+  // The response to this request no longer matters: it is reported as `late`. The request counts in the
+  // window until its response or its expiry.
   void abandon(std::uint32_t sequence);
-  // Answers a request that came. An error has no body.
+  // Answers a received request; without a body, as for an error, the response gets an empty one of its kind.
   void respond(const Pdu& request, Status status, Body body = Empty{});
-  void enquire(Time now);
-  void unbind(Time now);
+  void enquire(Time now);  // sends enquire_link, unless one is outstanding
+  void unbind(Time now);   // sends unbind; closes the session where it is not bound
 
   void receive(Time now, std::string_view bytes, std::vector<Event>& events);
-  // What is due by time; to be asked at next_due().
+  // Handles the timers that are due; to be called at next_due().
   void tick(Time now, std::vector<Event>& events);
   Time next_due() const;
 
@@ -90,23 +91,23 @@
   bool bound() const {
     return state_ == State::transmitter || state_ == State::receiver || state_ == State::transceiver;
   }
-  std::size_t outstanding() const { return out_.size(); }  // own requests, links' enquiries aside
-  std::size_t owed() const { return owed_.size(); }        // responses to the peer's requests
+  std::size_t outstanding() const { return out_.size(); }  // own requests, without enquire_link
+  std::size_t owed() const { return owed_.size(); }        // the peer's requests without a response
   const SessionSettings& settings() const { return settings_; }
-  // What the peer's bind asked for.
+  // The peer's bind request.
   const Bind& peer() const { return peer_; }
 
   bool has_output() const { return !output_.empty(); }
   std::size_t output_size() const { return output_.size(); }
   std::string take_output();
 
-  // For tests: the number of the next request.
+  // For tests: sets the sequence number of the next request.
   void set_next_sequence(std::uint32_t next) { next_ = next; }
 
  private:
-  struct Out {
+  struct Out {  // an own request that is outstanding
     Command command{};
-    Time due = 0;
+    Time due = 0;  // expires then
     bool abandoned = false;
   };
   std::uint32_t next_sequence();
@@ -117,8 +118,9 @@
   void take_request(Time now, Pdu& pdu, std::vector<Event>& events);
   void mistake(const Pdu& header, const Wrong& wrong, std::vector<Event>& events);
   void fail(const std::string& what, std::vector<Event>& events);
-  bool may_ask(Command command) const;  // the peer, in this state
+  bool may_ask(Command command) const;  // whether the peer may send this request in this state
   void forget(std::uint32_t sequence);
+  // Answers the peer's unbind once no own request is outstanding.
   void maybe_unbound(std::vector<Event>& events);
 
   Role role_;
@@ -128,15 +130,18 @@
   std::string output_;
   std::uint32_t next_ = 1;
   std::map<std::uint32_t, Out> out_;
-  std::set<std::pair<Time, std::uint32_t>> due_;  // of out_
-  std::set<std::uint32_t> expired_;               // numbers whose responses may still come, the newest
+  std::set<std::pair<Time, std::uint32_t>> due_;  // when requests in out_ expire
+  std::set<std::uint32_t> expired_;  // the latest expired requests, whose responses may still come
   std::vector<std::uint32_t> expired_order_;
-  std::multiset<std::uint32_t> owed_;
-  std::optional<Pdu> bind_;  // asked for (esme) or to be answered (smsc)
+  std::multiset<std::uint32_t> owed_;  // the peer's requests without a response, by sequence number
+  std::optional<Pdu> bind_;            // bind request that was sent (esme) or is to be answered (smsc)
   Bind peer_;
-  std::optional<std::pair<std::uint32_t, Time>> enquiry_;  // number, due
-  std::optional<std::uint32_t> peer_unbind_, own_unbind_;
-  Time began_, heard_at_, message_at_, unbind_due_ = kNever;
+  std::optional<std::pair<std::uint32_t, Time>> enquiry_;  // outstanding enquire_link: sequence number, due
+  std::optional<std::uint32_t> peer_unbind_, own_unbind_;  // unbinds without a response, by sequence number
+  Time began_;                                             // when the connection or the bind request began
+  Time heard_at_;                                          // when bytes were last received
+  Time message_at_;  // when the session was bound, or a message request was last sent or received
+  Time unbind_due_ = kNever;
   std::size_t mistakes_ = 0;
 };
 
--- a/src/smpp/text.cpp
+++ b/src/smpp/text.cpp
@@ -27,8 +27,8 @@
                                                     {0x2f, U'\\'}, {0x3c, U'['}, {0x3d, U'~'}, {0x3e, U']'},
                                                     {0x40, U'|'},  {0x65, U'€'}};
 
-// By character: its septet, or 128 more for one of the extension table; -1 where it has none. Beyond the
-// table the alphabet has no character.
+// By character: its septet, plus 128 if it is in the extension table; -1 where the alphabet lacks it. No
+// character of the alphabet lies beyond kLastGsm.
 constexpr char32_t kLastGsm = 0x20ac;  // the euro sign
 const std::vector<std::int16_t>& gsm_table() {
   static const auto table = [] {
@@ -41,7 +41,7 @@
   return table;
 }
 
-bool put_gsm(char32_t c, std::string& out) {
+bool append_gsm7(char32_t c, std::string& out) {
   const auto at = c <= kLastGsm ? gsm_table()[c] : std::int16_t{-1};
   if (at < 0) return false;
   if (at >= 128) out += kEscape;
@@ -49,7 +49,7 @@
   return true;
 }
 
-std::optional<std::u32string> characters(std::string_view utf8) {
+std::optional<std::u32string> code_points(std::string_view utf8) {
   std::u32string all;
   try {
     utf8::utf8to32(utf8.begin(), utf8.end(), std::back_inserter(all));
@@ -59,20 +59,20 @@
   return all;
 }
 
-std::size_t most_in_one(Coding coding) { return coding == Coding::gsm7 ? 160 : 140; }
-// With a user data header of six octets: 153 septets, or 134 octets (67 characters of UCS-2).
-std::size_t most_in_part(Coding coding) { return coding == Coding::gsm7 ? 153 : 134; }
+std::size_t max_in_single(Coding coding) { return coding == Coding::gsm7 ? 160 : 140; }
+// Capacity beside a user data header of six octets: 153 septets, or 134 octets (67 characters of UCS-2).
+std::size_t max_in_part(Coding coding) { return coding == Coding::gsm7 ? 153 : 134; }
 
-std::uint16_t two(std::string_view bytes, std::size_t at) {
+std::uint16_t u16_at(std::string_view bytes, std::size_t at) {
   return static_cast<std::uint16_t>(static_cast<unsigned char>(bytes[at]) << 8 |
                                     static_cast<unsigned char>(bytes[at + 1]));
 }
 
-[[noreturn]] void wrong(const char* what) { throw std::invalid_argument(what); }
+[[noreturn]] void fail(const char* what) { throw std::invalid_argument(what); }
 
-PartOf checked(PartOf part) {
+PartOf validated(PartOf part) {
   if (part.total < 1 || part.number < 1 || part.number > part.total)
-    wrong("a part's number is not within their total");
+    fail("a part's number is not within their total");
   return part;
 }
 
@@ -80,12 +80,12 @@
 
 std::optional<std::string> to_coding(std::string_view utf8, Coding coding) {
   if (coding == Coding::octets) return std::string(utf8);
-  const auto all = characters(utf8);
+  const auto all = code_points(utf8);
   if (!all) return std::nullopt;
   std::string out;
   for (const char32_t c : *all) {
     if (coding == Coding::gsm7) {
-      if (!put_gsm(c, out)) return std::nullopt;
+      if (!append_gsm7(c, out)) return std::nullopt;
     } else if (coding == Coding::latin1) {
       if (c > 0xff) return std::nullopt;
       out += static_cast<char>(c);
@@ -108,7 +108,7 @@
   if (coding == Coding::ucs2) {
     if (bytes.size() % 2 != 0) return std::nullopt;
     std::u16string units;
-    for (std::size_t i = 0; i < bytes.size(); i += 2) units += static_cast<char16_t>(two(bytes, i));
+    for (std::size_t i = 0; i < bytes.size(); i += 2) units += static_cast<char16_t>(u16_at(bytes, i));
     try {
       utf8::utf16to8(units.begin(), units.end(), std::back_inserter(out));
     } catch (const utf8::exception&) {
@@ -130,8 +130,8 @@
     }
     char32_t c = kGsm[octet];
     if (escaped) {
-      // Section 6.2.1.1: where there is no such extension, the character of the main table is shown; an
-      // escape of an escape is a space.
+      // Section 6.2.1.1: an extension that is not defined is shown as the character of the main table; a
+      // double escape is shown as a space.
       if (byte == kEscape) c = U' ';
       for (const auto& [septet, character] : kExtension)
         if (septet == byte) c = character;
@@ -149,16 +149,17 @@
     const auto encoded = to_coding(utf8, coding);
     if (!encoded) continue;
     const std::size_t parts =
-        encoded->size() <= most_in_one(coding) ? 1 : cut(*encoded, coding, most_in_part(coding)).size();
+        encoded->size() <= max_in_single(coding) ? 1 : cut(*encoded, coding, max_in_part(coding)).size();
     if (!best || parts < fewest) best = coding, fewest = parts;
-    if (fewest == 1) break;  // no other takes fewer
+    if (fewest == 1) break;  // no other coding needs fewer
   }
   return best;
 }
 
 std::vector<std::string> cut(std::string_view encoded, Coding coding, std::size_t most) {
   std::vector<std::string> parts;
-  const auto whole_until = [&](std::size_t at) {  // where a cut at `at` splits a character, before that one
+  // Moves a cut that would split a character to before that character.
+  const auto cut_at = [&](std::size_t at) {
     if (at >= encoded.size()) return encoded.size();
     if (coding == Coding::gsm7) {
       std::size_t escapes = 0;
@@ -167,12 +168,12 @@
     }
     if (coding != Coding::ucs2) return at;
     at -= at % 2;
-    const bool low = at + 1 < encoded.size() && (two(encoded, at) & 0xfc00) == 0xdc00;
-    return low && at >= 2 && (two(encoded, at - 2) & 0xfc00) == 0xd800 ? at - 2 : at;
+    const bool low = at + 1 < encoded.size() && (u16_at(encoded, at) & 0xfc00) == 0xdc00;
+    return low && at >= 2 && (u16_at(encoded, at - 2) & 0xfc00) == 0xd800 ? at - 2 : at;
   };
   for (std::size_t from = 0; from < encoded.size();) {
-    std::size_t to = whole_until(from + most);
-    if (to <= from) to = std::min(encoded.size(), from + most);  // `most` holds not even one character
+    std::size_t to = cut_at(from + most);
+    if (to <= from) to = std::min(encoded.size(), from + most);  // `most` is less than one character
     parts.emplace_back(encoded.substr(from, to - from));
     from = to;
   }
@@ -184,17 +185,17 @@
   Message base = message;
   base.data_coding = static_cast<std::uint8_t>(coding);
   base.text.clear();
-  if (encoded.size() <= most_in_one(coding)) {
+  if (encoded.size() <= max_in_single(coding)) {
     base.text = encoded;
     return {base};
   }
   if (how == Split::payload) {
-    if (encoded.size() > 65'535) wrong("the text is longer than a message_payload may be");
+    if (encoded.size() > 65'535) fail("the text is longer than a message_payload may be");
     base.tlvs.push_back({tag::message_payload, std::string(encoded)});
     return {base};
   }
-  const auto texts = cut(encoded, coding, most_in_part(coding));
-  if (texts.size() > 255) wrong("the text would take more than 255 parts");
+  const auto texts = cut(encoded, coding, max_in_part(coding));
+  if (texts.size() > 255) fail("the text would take more than 255 parts");
   std::vector<Message> parts;
   for (std::size_t i = 0; i < texts.size(); i++) {
     Message& part = parts.emplace_back(base);
@@ -218,21 +219,21 @@
 Taken taken_apart(const Message& m) {
   Taken t;
   const auto* payload = find(m.tlvs, tag::message_payload);
-  if (payload != nullptr && !m.text.empty()) wrong("both short_message and message_payload have text");
+  if (payload != nullptr && !m.text.empty()) fail("both short_message and message_payload have text");
   std::string_view text = payload != nullptr ? std::string_view(payload->value) : std::string_view(m.text);
   const auto total = number(m.tlvs, tag::sar_total_segments), at = number(m.tlvs, tag::sar_segment_seqnum),
              reference = number(m.tlvs, tag::sar_msg_ref_num);
   if (total && at && reference)
     t.part =
-        checked({static_cast<std::uint16_t>(*reference), static_cast<int>(*at), static_cast<int>(*total)});
+        validated({static_cast<std::uint16_t>(*reference), static_cast<int>(*at), static_cast<int>(*total)});
   if ((m.esm_class & kUdhi) != 0) {
     if (text.empty() || static_cast<unsigned char>(text[0]) + 1u > text.size())
-      wrong("the user data header is longer than the text");
+      fail("the user data header is longer than the text");
     std::string_view header = text.substr(1, static_cast<unsigned char>(text[0]));
     text.remove_prefix(header.size() + 1);
     while (!header.empty()) {
       if (header.size() < 2 || static_cast<unsigned char>(header[1]) + 2u > header.size())
-        wrong("an element of the user data header is longer than the header");
+        fail("an element of the user data header is longer than the header");
       const auto element = static_cast<unsigned char>(header[0]);
       const auto value = header.substr(2, static_cast<unsigned char>(header[1]));
       header.remove_prefix(value.size() + 2);
@@ -240,9 +241,9 @@
         return static_cast<int>(static_cast<unsigned char>(value[i]));
       };
       if (element == 0 && value.size() == 3)
-        t.part = checked({static_cast<std::uint16_t>(octet(0)), octet(2), octet(1)});
-      else if (element == 8 && value.size() == 4)  // a reference of 16 bits
-        t.part = checked({two(value, 0), octet(3), octet(2)});
+        t.part = validated({static_cast<std::uint16_t>(octet(0)), octet(2), octet(1)});
+      else if (element == 8 && value.size() == 4)  // 16-bit reference
+        t.part = validated({u16_at(value, 0), octet(3), octet(2)});
     }
   }
   t.text = text;
@@ -263,7 +264,7 @@
   };
   const auto number = static_cast<std::size_t>(part.number - 1);
   auto it = find();
-  if (it != open_.end() && it->parts[number]) return std::nullopt;  // it came twice
+  if (it != open_.end() && it->parts[number]) return std::nullopt;  // a duplicate
   while (!open_.empty() &&
          (bytes_ + text.size() > most_bytes_ || (it == open_.end() && open_.size() >= most_))) {
     give_up(open_.begin());
--- a/src/smpp/text.hpp
+++ b/src/smpp/text.hpp
@@ -1,8 +1,8 @@
-// Texts of short messages: the GSM 7-bit default alphabet with its extension table (3GPP TS 23.038), Latin-1,
-// UCS-2; and long messages in parts (TS 23.040 section 9.2.3.24.1; SMPP v3.4 sections 5.3.2.22 to 24). Free
-// of I/O.
+// Texts of short messages: encoding in the GSM 7-bit default alphabet with its extension table (3GPP
+// TS 23.038), Latin-1 and UCS-2, and splitting long messages into parts (TS 23.040 section 9.2.3.24.1; SMPP
+// v3.4 sections 5.3.2.22 to 24). Does no I/O.
 //
-// In SMPP a message of the default alphabet has one septet in each octet; the message centre packs them.
+// In SMPP a message in the default alphabet has one septet in each octet; the message centre packs them.
 #pragma once
 
 #include <cstdint>
@@ -22,54 +22,59 @@
   ucs2 = 0x08
 };  // data_coding, 5.2.19
 
-// Text is UTF-8. Nothing where a character is not in the alphabet, or the text is no UTF-8.
+// Encodes a UTF-8 text. Nothing where a character is not in the alphabet, or the text is not valid UTF-8.
 std::optional<std::string> to_coding(std::string_view utf8, Coding coding);
-// Nothing where the bytes are none of that alphabet (UCS-2: an odd number of bytes, or half a surrogate
-// pair).
+// Decodes to UTF-8. Nothing where the bytes are not valid in that alphabet (UCS-2: an odd number of bytes, or
+// half a surrogate pair).
 std::optional<std::string> from_coding(std::string_view bytes, Coding coding);
-// The one with the fewest parts that holds the text: GSM 7-bit, Latin-1, UCS-2. Nothing where it is no UTF-8.
+// The coding that needs the fewest parts for the text; of equals, the first of GSM 7-bit, Latin-1, UCS-2.
+// Nothing where the text is not valid UTF-8.
 std::optional<Coding> fewest_parts(std::string_view utf8);
 
-// Cuts an encoded text so that no part holds more than `most` octets and no character is cut: an escape and
-// what it escapes, or a surrogate pair, stay together.
+// Splits an encoded text so that no part holds more than `most` octets and no character is split: an escape
+// stays with the septet after it, and a surrogate pair stays together.
 std::vector<std::string> cut(std::string_view encoded, Coding coding, std::size_t most);
 
+// How a long message is carried: in parts with user data headers or SAR parameters, or in one
+// message_payload.
 enum class Split { udh, sar, payload };
-// A message with its text as one or more PDUs. `reference` tells the parts of one message from another's.
-// Throws std::invalid_argument where it would take more than 255 parts, or a payload of more than 64 KiB.
+// A message with its text as one or more PDUs. `reference` distinguishes the parts of one message from those
+// of another. Throws std::invalid_argument where it would take more than 255 parts, or a payload of more than
+// 64 KiB.
 std::vector<Message> in_parts(const Message& message, std::string_view encoded, Coding coding, Split how,
                               std::uint16_t reference);
 
-// What one part says of itself. Nothing: it is a whole message.
+// The position of a part in its long message.
 struct PartOf {
   std::uint16_t reference = 0;
-  int number = 1, total = 1;  // from 1
+  int number = 1, total = 1;  // numbers start at 1
 };
 struct Taken {
-  std::string text;  // without its user data header
-  std::optional<PartOf> part;
+  std::string text;            // without its user data header
+  std::optional<PartOf> part;  // nothing: it is a complete message
 };
-// By user data header (8 or 16 bit references), SAR parameters or message_payload. Throws
-// std::invalid_argument naming what is wrong: a header longer than its text, part 0 or beyond the total, both
-// kinds of text.
+// Extracts the text and the part information: from the user data header (8 or 16 bit references), SAR
+// parameters or message_payload. Throws std::invalid_argument saying what is wrong: a header longer than its
+// text, part 0 or beyond the total, or text in both short_message and message_payload.
 Taken taken_apart(const Message& message);
 
-// Long messages put together again, bounded: beyond `most` unfinished ones, or `bytes` of their texts, the
-// oldest are given up.
+// Reassembles long messages. Bounded: beyond `most` incomplete messages, or `bytes` of their text, the oldest
+// are discarded.
 class Assembly {
  public:
   explicit Assembly(std::size_t most = 1000, std::size_t bytes = 16 * 1024 * 1024)
       : most_(most), most_bytes_(bytes) {}
-  // `from` tells senders apart, who choose references independently. The whole text once all parts are there.
+  // `from` identifies the sender, because senders choose references independently. Returns the whole text
+  // once all parts are there.
   std::optional<std::string> add(const std::string& from, const PartOf& part, std::string text);
   std::size_t unfinished() const { return open_.size(); }
   std::size_t bytes() const { return bytes_; }
 
  private:
-  struct Open {
+  struct Open {  // an incomplete message
     std::string from;
     std::uint16_t reference = 0;
-    int have = 0;
+    int have = 0;  // parts received
     std::size_t bytes = 0;
     std::vector<std::optional<std::string>> parts;
   };
