--- a/src/smpp/session.hpp
+++ b/src/smpp/session.hpp
@@ -138,10 +138,9 @@
   Bind peer_;
   std::optional<std::pair<std::uint32_t, Time>> enquiry_;  // outstanding enquire_link: sequence number, due
   std::optional<std::uint32_t> peer_unbind_, own_unbind_;  // unbinds without a response, by sequence number
-  Time began_;                                             // when the connection or the bind request began
-  Time heard_at_;                                          // when bytes were last received
-  Time message_at_;  // when the session was bound, or a message request was last sent or received
-  Time unbind_due_ = kNever;
+  // When the connection or the bind request began; when bytes were last received; when the session was bound,
+  // or a message request was last sent or received; limit for the response to an own unbind.
+  Time began_, heard_at_, message_at_, unbind_due_ = kNever;
   std::size_t mistakes_ = 0;
 };
 
--- a/src/sms/bind_guard.hpp
+++ b/src/sms/bind_guard.hpp
@@ -36,10 +36,8 @@
  private:
   struct Entry {
     std::string key;
-    int wrong = 0;   // consecutive failures since the last delay
-    int rests = 0;   // delays imposed so far
-    Time until = 0;  // blocked until
-    Time last = 0;   // when the latest failure came
+    int wrong = 0, rests = 0;  // consecutive failures since the last delay; delays imposed so far
+    Time until = 0, last = 0;  // blocked until; time of the latest failure
   };
   // The entry of this key as the most recently used one; creates it where there is none.
   Entry& touch(const std::string& key);
--- a/src/sms/front.hpp
+++ b/src/sms/front.hpp
@@ -66,11 +66,11 @@
     smpp::Session session;
     std::map<std::uint32_t, ReceiptBook::Number> out;  // receipts without a response, by sequence number
     loop::TimerId timer = 0;
-    Time timer_at = 0;
-    Time progress_at = 0;            // when output last made progress, or none was queued
+    // progress_at: when output last made progress, or none was queued.
+    Time timer_at = 0, progress_at = 0;
     std::uint64_t flushed_seen = 0;  // bytes flushed at the last stall check
-    bool paused = false;             // reading is paused: the client does not read its responses
-    bool closing = false;
+    // paused: nothing is read, because the client does not read its responses.
+    bool paused = false, closing = false;
     Client(const smpp::SessionSettings& s, Time now) : session(smpp::Role::smsc, s, now) {}
   };
   // What a submit is answered with.
--- a/src/sms/receipt_book.hpp
+++ b/src/sms/receipt_book.hpp
@@ -51,8 +51,7 @@
  private:
   struct Owed {
     smpp::Message receipt;
-    Time until = 0;       // expires then
-    Time not_before = 0;  // not sent before
+    Time until = 0, not_before = 0;  // when it expires; when it may be sent
     std::uint64_t tag = 0;
   };
   struct Out {  // sent, without a response yet
--- a/src/sms/semantics.cpp
+++ b/src/sms/semantics.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 namespace st = smpp::status;
-constexpr Time kSecond = 1'000'000;                   // us
-constexpr Time kMaxToldWait = 24LL * 3600 * kSecond;  // a longer told wait counts as this
-constexpr std::uint8_t kEsmReceipt = 0x04;            // message type in esm_class bits 5 to 2, section 5.2.12
+// In us. A longer told wait counts as kMaxToldWait.
+constexpr Time kSecond = 1'000'000, kMaxToldWait = 24LL * 3600 * kSecond;
+constexpr std::uint8_t kEsmReceipt = 0x04;  // message type in esm_class bits 5 to 2, section 5.2.12
 
 std::optional<int> parse_digits(std::string_view text) {
   int v = 0;
