--- a/tests/esme.hpp
+++ b/tests/esme.hpp
@@ -1,4 +1,4 @@
-// An SMPP client whose every PDU the test decides.
+// SMPP client for tests: the test decides on each PDU that it sends.
 #pragma once
 
 #include "service.hpp"
@@ -32,7 +32,7 @@
   void flush() {
     if (session.has_output()) stream->write(session.take_output());
   }
-  // To a destination by its name, or to a number.
+  // A message to a destination by its name, or to a number.
   static smpp::Message message(const std::string& to, const std::string& type, const std::string& text) {
     smpp::Message m;
     m.destination = to[0] == '+' ? smpp::Address{1, 1, to.substr(1)} : smpp::Address{5, 0, to};
@@ -68,7 +68,7 @@
     }
   }
   smpp::Status status(std::uint32_t n) const { return responses.at(n).status; }
-  int state(std::uint32_t n) const {  // of its receipt; 0: none, -1: several
+  int state(std::uint32_t n) const {  // message_state of its receipt; 0: no receipt, -1: several
     const auto it = receipts.find(ids.at(n));
     return it == receipts.end() ? 0 : it->second.size() > 1 ? -1 : it->second[0].state;
   }
--- a/tests/form.hpp
+++ b/tests/form.hpp
@@ -1,5 +1,6 @@
-// Stand-ins on a thread of their own, scripted message by message (see DestinationSettings::answers), for
-// tests of engines that run beside them. What the module sees depends on the message alone, not on time.
+// Stand-in destinations on a separate thread, with a scripted answer for each message (see
+// DestinationSettings::answers), for tests of engines that run beside them. Their answers depend on the
+// message alone, not on time.
 #pragma once
 
 #include <atomic>
@@ -14,7 +15,7 @@
 
 class Standins {
  public:
-  // `centres`: they are message centres, and all kinds go by SMPP.
+  // `centres`: the destinations are message centres, and all kinds use SMPP.
   explicit Standins(bool centres = false) : centres_(centres) {
     std::string name = (std::filesystem::temp_directory_path() / "cedarplank-form-XXXXXX").string();
     folder_ = mkdtemp(name.data());
@@ -25,8 +26,8 @@
     std::error_code ignored;
     std::filesystem::remove_all(folder_, ignored);
   }
-  loop::Time tells_wait = 0;  // with a 429 of those added next
-  // Before start(). An empty script serves all.
+  loop::Time tells_wait = 0;  // told wait in the 429 answers of destinations added after it is set
+  // To be called before start(). With an empty script every message is served.
   void add(const std::string& destination, const std::string& script, const std::string& kind = "plain") {
     standin::DestinationSettings d;
     d.name = destination, d.place = Service::quick(), d.smpp = centres_;
@@ -55,7 +56,8 @@
     thread_ = std::thread([this] { loop_.run(); });
   }
   std::string settings_file(const std::string& more = "") {
-    static const auto hash = sms::hash_password("secret", 1000);  // the same in all: they are compared
+    // Shared by all settings files, because they are compared.
+    static const auto hash = sms::hash_password("secret", 1000);
     const std::string file = folder_ + "/relay" + std::to_string(++files_) + ".yaml";
     std::ofstream(file) << "relay: {listen: \"127.0.0.1:0\", seed: 1, drain_within: 400ms"
                         << (more.empty() ? "" : ", ") << more
--- a/tests/smpp_back_test.cpp
+++ b/tests/smpp_back_test.cpp
@@ -1,4 +1,5 @@
-// From an HTTP/2 client through the relay to message centres, over loopback, with what centres do wrong.
+// Tests of the client-side SMPP connection: from an HTTP/2 client through the relay to message centres over
+// loopback, with faults of the message centres.
 #include "service.hpp"
 
 namespace cedarplank::testing {
@@ -56,14 +57,14 @@
   until_all_answered();
   EXPECT_EQ(count("201"), 6u);
   for (const auto& [stream, id] : asked) EXPECT_EQ(s.effects_of(id), 1u) << id;
-  EXPECT_EQ(s.calls(), 6u) << "a long message is one call";
+  EXPECT_EQ(s.calls(), 6u) << "a long message counts as one call";
   for (const auto& e : s.effects) EXPECT_EQ(e.key, e.message == "n-1" ? "key-n-1" : "");
 }
 
 TEST_F(SmppBack, ABindThatDropsWithFiftyOutLeavesThemInDoubt) {
   auto& centre = s.add_centre("centre", 1);
   start();
-  // Warmed up, so that the module lets so many out at once.
+  // Warm-up, so that the dispatcher allows this many outstanding calls.
   centre.place_of("centre-1").set_slowness(30);
   for (int i = 0; i < 600; i++) push("status", "w-" + std::to_string(i));
   until_all_answered();
@@ -75,7 +76,7 @@
       s.loop, [&] { return s.calls() >= before + 50; }, 3 * kS);
   EXPECT_EQ(s.effects.size(), effects);
   const Time dropped = s.loop.now();
-  s.endpoint("centre-1").begin({.fault = Fault::refuse});  // resets what stands
+  s.endpoint("centre-1").begin({.fault = Fault::refuse});  // resets established connections
   s.endpoint("centre-1").end(Fault::refuse);
   centre.place_of("centre-1").set_slowness(1);
   std::set<std::string> out;
@@ -84,7 +85,7 @@
   until_all_answered();
   for (const auto& [stream, id] : asked) {
     const bool pay = std::stoi(id.substr(2)) % 2 == 0, in_doubt = pay && out.count(id) > 0;
-    // Unsafe ones that were out may have run: they are not sent again, nor handed back.
+    // Unsafe messages that were outstanding may have run: they are neither sent again nor refused.
     EXPECT_EQ(client->status(stream), in_doubt ? "502" : "201") << id;
     if (pay) {
       EXPECT_LE(s.effects_of(id), 1u) << id;
@@ -96,14 +97,14 @@
   auto& centre = s.add_centre("centre", 1, "plain-sms");
   (void)centre;
   start();
-  fault(Fault::refused_stream);  // of the part that makes a message whole: ESME_RMSGQFUL
+  fault(Fault::refused_stream);  // ESME_RMSGQFUL for the part that completes a message
   const auto stream = push("pay", "long", 700, {{"recipient", "123"}});
   until_all_answered();
   EXPECT_EQ(client->status(stream), "502");
   EXPECT_NE(client->bodies[stream].find("after others were taken"), std::string::npos)
       << client->bodies[stream];
   EXPECT_EQ(s.calls(), 1u);
-  // A single one that is refused has not run, and goes again.
+  // A refused message of a single part has not run, and is sent again.
   const auto single = push("pay", "single", 0, {{"recipient", "123"}});
   turn(s.loop, [&] { return s.calls() >= 3; });
   fault_over(Fault::refused_stream);
@@ -120,7 +121,7 @@
   until_all_answered();
   EXPECT_EQ(count("201"), 300u);
   EXPECT_EQ(s.effects.size(), 300u);
-  EXPECT_LE(s.node->connections_opened(), 8u) << "no bind was lost over it";
+  EXPECT_LE(s.node->connections_opened(), 8u) << "no bind was lost because of it";
 }
 
 TEST_F(SmppBack, AResponseAfterItsTimeIsNoAnswer) {
@@ -135,7 +136,7 @@
   turn(s.loop, [&] { return s.effects_of("late") == 1; });
   rest(s.loop, 50 * kMs);
   EXPECT_EQ(client->answers[late], 1);
-  // The bind still serves.
+  // The bind is still usable.
   const auto next = push("pay", "next", 0, {}, "8");
   until_all_answered();
   EXPECT_EQ(client->status(next), "201");
@@ -160,7 +161,7 @@
   start();
   push("status", "first");
   until_all_answered();
-  s.endpoint("centre-1").begin({.fault = Fault::shut, .wait = 1 * kS});  // ESME_RSYSERR with a wait
+  s.endpoint("centre-1").begin({.fault = Fault::shut, .wait = 1 * kS});  // ESME_RSYSERR with a told wait
   push("status", "told");
   turn(s.loop, [&] { return s.calls() == 2; });
   const Time told = s.loop.now();
--- a/tests/smpp_front_test.cpp
+++ b/tests/smpp_front_test.cpp
@@ -1,5 +1,5 @@
-// SMPP clients at the relay as their message centre, over loopback: what is taken, what is not and why, and
-// receipts that find their client.
+// Tests of the SMPP server over loopback sockets: which submits are accepted, the status of those that are
+// not, and the delivery of receipts.
 #include <random>
 
 #include "esme.hpp"
@@ -88,7 +88,7 @@
   answered(*e, expected.size());
   for (const auto& [n, status] : expected) EXPECT_EQ(e->status(n), status) << n;
   rest(s.loop, 50 * kMs);
-  EXPECT_EQ(s.calls(), 1u) << "the one that was right";
+  EXPECT_EQ(s.calls(), 1u) << "only the valid one";
 }
 
 TEST_F(SmppFront, ALongMessageIsOneWithOneReceipt) {
@@ -107,7 +107,7 @@
   for (const auto n : all) EXPECT_EQ(e->ids[n], e->ids[*all.begin()]);
   EXPECT_EQ(e->state(*all.begin()), sms::kDelivered);
   EXPECT_EQ(s.effects_of("long"), 1u);
-  // One that never comes whole is handed back when its time is up.
+  // An incomplete message is refused when its validity ends.
   parts = smpp::in_parts(Esme::message("push", "PAY", ""), text, smpp::Coding::gsm7, smpp::Split::sar, 8);
   parts[1].validity = sms::relative_time(1 * kS);
   const auto n = e->submit(parts[1]);
@@ -125,13 +125,13 @@
   for (int i = 0; i < 20; i++) e->submit(Esme::message("push", "PAY", body("m-" + std::to_string(i), "pay")));
   answered(*e, 20);
   for (const auto& [n, id] : e->ids) ids.insert(id);
-  e->session.unbind(s.loop.now()), e->flush();  // with all of them in flight
+  e->session.unbind(s.loop.now()), e->flush();  // while all of them are in flight
   turn(s.loop, [&] { return e->closed; });
   turn(s.loop, [&] { return s.effects.size() == 20 && s.node->core().held() == 0; });
   auto other = bound("cellar");  // another client gets none of them
   rest(s.loop, 50 * kMs);
   EXPECT_TRUE(other->deliveries.empty());
-  // A bind that takes them but answers none, and goes: they are not lost.
+  // Receipts sent on a bind that closes without answering them are not lost.
   auto mute =
       std::make_unique<Esme>(s.loop, s.node->smpp_address(), "bank", "secret", Command::bind_receiver);
   mute->answers = false;
@@ -159,7 +159,7 @@
   m.validity = sms::relative_time(2 * kS);
   const auto unsent = e->submit(m);
   m.registered_delivery = 0;
-  e->submit(m);  // nobody wants to know
+  e->submit(m);  // asks for no receipt
   receipted(*e, 2);
   EXPECT_EQ(e->state(unsent), sms::kRejected);
   turn(s.loop, [&] { return s.node->core().held() == 0; });
@@ -260,7 +260,7 @@
 TEST_F(SmppFront, AFloodOfBindsLocksNobodyElseOut) {
   s.add("push", 1);
   s.start();
-  auto first = bound();  // known to be right from now on
+  auto first = bound();  // its password is verified from now on
   std::vector<std::unique_ptr<Esme>> flood;
   std::size_t throttled = 0, wrong = 0;
   for (int round = 0; round < 10; round++) {
@@ -275,13 +275,13 @@
     flood.clear();
   }
   EXPECT_EQ(throttled + wrong, 200u);
-  EXPECT_LE(wrong, 40u) << "guesses that cost a hash";
+  EXPECT_LE(wrong, 40u) << "attempts for which PBKDF2 was computed";
   auto second = bound();
   const auto n = second->submit(Esme::message("push", "", body("m")));
   // Either bind of the client may get the receipt.
   turn(s.loop, [&] { return first->receipts.size() + second->receipts.size() == 1; });
   EXPECT_EQ(second->status(n), st::ok);
-  // As many as it may have.
+  // The limit of binds per client holds.
   std::vector<std::unique_ptr<Esme>> more;
   for (int i = 0; i < 3; i++) more.push_back(std::make_unique<Esme>(s.loop, s.node->smpp_address()));
   turn(s.loop, [&] {
@@ -311,7 +311,7 @@
   EXPECT_EQ(e->status(c), st::queue_full);
 }
 
-// ---- Decisions alone ----
+// ---- Components without sockets ----
 
 TEST(Submissions, PartsAndSchedulesAreBoundedByClientBytesAndTime) {
   sms::Submissions book(
@@ -328,23 +328,24 @@
     EXPECT_EQ(added.part, i < 20 ? Part::first : Part::no_room);
   }
   auto later = of("loud", "s", kS);
-  EXPECT_FALSE(book.schedule(later)) << "half of all the room is its";
+  EXPECT_FALSE(book.schedule(later)) << "one client may use half of the capacity";
   later = of("quiet", "q", 2 * kS), later.request.body = std::string(60, 'x');
   EXPECT_TRUE(book.schedule(later));
-  EXPECT_FALSE(book.replace("quiet", "q", {std::string(90, 'x'), ""}, {}, {})) << "beyond the bytes";
+  EXPECT_FALSE(book.replace("quiet", "q", {std::string(90, 'x'), ""}, {}, {})) << "exceeds bytes_max";
   EXPECT_TRUE(book.replace("quiet", "q", {std::string(70, 'x'), ""}, 3 * kS, {}));
   EXPECT_EQ(book.add_part(0, "7", {1, 2, 2}, of("loud", "other", 1), "y").part, Part::whole);
   EXPECT_EQ(book.add_part(0, "8", {1, 1, 2}, of("loud", "other", 1), "y").part, Part::again);
   EXPECT_EQ(book.add_part(0, "8", {1, 2, 3}, of("loud", "other", 1), "y").part, Part::no_room)
-      << "another total";
+      << "part with another total";
   std::vector<sms::Submission> start, never;
   EXPECT_EQ(book.next_due(), 3 * kS);
   book.due(5 * kS, start, never);
   EXPECT_EQ(start.size(), 1u);
-  EXPECT_EQ(never.size(), 19u) << "in time, though they are valid for longer";
+  EXPECT_EQ(never.size(), 19u) << "dropped after parts_within, although valid for longer";
   EXPECT_EQ(book.bytes(), 0u);
   EXPECT_EQ(book.held(), 0u);
-  // Ends are remembered for so many, and told to their client alone; of several recipients the worst.
+  // Only the latest states_max final states are kept, and only their client can query them; for several
+  // recipients the worst state counts.
   for (int i = 0; i < 5; i++) book.note_end("c", std::to_string(i), sms::kDelivered, 1);
   book.note_end("c", "4", sms::kUnknown, 2);
   EXPECT_FALSE(book.state("c", "1"));
@@ -356,7 +357,7 @@
   const auto hash = sms::hash_password("secret", 1000);
   EXPECT_TRUE(sms::matches("secret", hash));
   EXPECT_FALSE(sms::matches("secreT", hash));
-  EXPECT_NE(hash, sms::hash_password("secret", 1000)) << "each has its salt";
+  EXPECT_NE(hash, sms::hash_password("secret", 1000)) << "each hash has its own salt";
   for (const char* bad : {"", "secret", "pbkdf2-sha256$0$00$00", "pbkdf2-sha256$x$y$z", "md5$1$00$00"})
     EXPECT_THROW(sms::matches("secret", bad), std::invalid_argument) << bad;
 }
@@ -370,7 +371,8 @@
       g.wrong(now, "bank", "10.0.0.1");
     }
     ASSERT_FALSE(g.may_try(now, "bank", "10.0.0.1"));
-    EXPECT_TRUE(g.may_try(now, "bank", "10.0.0.2")) << "its owner comes from elsewhere";
+    EXPECT_TRUE(g.may_try(now, "bank", "10.0.0.2"))
+        << "the same system_id from another address is not blocked";
     const Time from = now;
     while (!g.may_try(now, "bank", "10.0.0.1")) now += kS / 10;
     EXPECT_GE(now - from, std::min<Time>(8 * kS, kS << rests++));
@@ -390,7 +392,7 @@
   book.owe(0, "quiet", receipt(0));
   for (int i = 0; i < 30; i++) book.owe(0, "loud", receipt(i));
   EXPECT_EQ(book.waiting(), 10u);
-  EXPECT_EQ(book.waiting("quiet"), 1u) << "the one with the most makes room";
+  EXPECT_EQ(book.waiting("quiet"), 1u) << "the oldest receipt of the client with the most is dropped";
   EXPECT_EQ(book.counts().dropped, 21u);
   const auto a = book.next(0, "loud"), b = book.next(0, "loud");
   EXPECT_EQ(a->second.text, "21");
@@ -400,7 +402,7 @@
   book.not_now(0, c->first);
   EXPECT_FALSE(book.next(kS / 2, "loud"));
   EXPECT_EQ(book.next_again(kS / 2), kS);
-  EXPECT_GT(book.next_again(kS), 5 * kS) << "not one that may go now";
+  EXPECT_GT(book.next_again(kS), 5 * kS) << "only postponed receipts count";
 
   EXPECT_EQ(book.next(kS, "loud")->second.text, "22");
   book.tick(5 * kS);
@@ -413,7 +415,8 @@
   EXPECT_EQ(sms::time_until("000000000130000R", wall), 90 * kS);
   EXPECT_EQ(sms::time_until("000100000000000R", wall), 31LL * 86'400 * kS) << "January";
   EXPECT_EQ(sms::time_until("260101000100000+", wall), 60 * kS);
-  EXPECT_EQ(sms::time_until("260101030000512+", wall), 500'000) << "three hours ahead of UTC, half a second";
+  EXPECT_EQ(sms::time_until("260101030000512+", wall), 500'000)
+      << "three hours ahead of UTC, plus half a second";
   EXPECT_EQ(sms::time_until("251231235959000+", wall), 0);
   EXPECT_EQ(sms::time_until("251231210100012-", wall), 60 * kS);
   for (const char* bad : {"", "26010100010000+", "261301000100000+", "260101240100000+", "260101000100049+",
@@ -439,7 +442,8 @@
     EXPECT_EQ(sms::proof_of(s, kind), sms::Proof::doubt) << s;
   kind.unseen = {0x400};
   EXPECT_EQ(sms::proof_of(0x400, kind), sms::Proof::refused);
-  // Parts: one taken and one refused leave doubt; all refused prove; all taken but some unsent leave doubt.
+  // Parts: one accepted and one refused leave doubt; all refused prove that nothing ran; all accepted but
+  // some unsent leave doubt.
   const relay::Ending ok{Outcome::served, 0, {}, "", {}}, full{Outcome::full, 0, {}, "", {}},
       lost{Outcome::reset, 0, {}, "", {}};
   EXPECT_EQ(sms::ending_of_parts({ok, ok}, true).outcome, Outcome::served);
@@ -450,8 +454,8 @@
   EXPECT_EQ(sms::ending_of_parts({full, lost}, true).outcome, Outcome::reset);
 }
 
-// With a journal: what was taken gets its receipt from the next run, once; one that was handed over does not
-// come again; and a submit is answered only when it would outlive a crash.
+// With a journal, the next run delivers the receipts of messages that this run accepted, each once; a receipt
+// that was delivered is not sent again; and a submit is answered only when the message is durable.
 TEST_F(SmppFront, ReceiptsOutliveTheRelayWithAJournal) {
   auto& j = s.settings.journal.emplace();
   j.folder = s.folder + "/journal", j.segment = 1 << 20, j.disk_max = 16 << 20;
@@ -462,7 +466,8 @@
   answered(*e, 1), receipted(*e, 1);
   EXPECT_EQ(e->state(done), sms::kDelivered);
   rest(s.loop, 20 * kMs);
-  // One whose receipt nobody takes, one whose attempt is out, and one that wants none.
+  // One message whose receipt is not answered, one whose attempt is in flight, and one that asks for no
+  // receipt.
   e->answers = false;
   const auto owed = e->submit(Esme::message("push", "", body("owed")));
   turn(s.loop, [&] { return e->deliveries.size() == 2; });
@@ -488,7 +493,7 @@
   ASSERT_EQ(again->receipts[ids.at(out)].size(), 1u);
   EXPECT_EQ(again->receipts[ids.at(out)][0].state, sms::kUnknown);
   EXPECT_EQ(s.effects_of("out"), 1u);
-  // Handed over now: a third run has nothing more to tell.
+  // All receipts are delivered: a third run sends none.
   s.node.reset();
   s.start();
   auto third = bound();
--- a/tests/smpp_mixed_test.cpp
+++ b/tests/smpp_mixed_test.cpp
@@ -1,6 +1,6 @@
-// Both fronts and both backs at once: 10,000 messages, half of them in by each front, out to push gateways
-// and message centres, with binds and connections dropped in the middle; judged from what passed at the
-// sockets.
+// Both protocol servers and both kinds of endpoint at once: 10,000 messages, half of them submitted by each
+// protocol, sent to push gateways and message centres while binds and connections are dropped. The checker
+// judges the run by the traffic recorded at the sockets.
 #include "rig/checker.hpp"
 #include "rig/load.hpp"
 #include "service.hpp"
@@ -46,7 +46,8 @@
       [&](record::Record&& r) { records.push_back(std::move(r)); });
   book = &client;
   client.start();
-  // Endpoints of either kind take a message and drop their connection without a word, one after the other.
+  // Endpoints of both kinds, one after the other, accept a message and drop the connection without a
+  // response.
   std::size_t dropped = 0, seen = 0;
   bool dropping = false;
   const auto endpoint = [&] { return "d" + std::to_string(1 + dropped % 12) + "-1"; };
--- a/tests/smpp_session_test.cpp
+++ b/tests/smpp_session_test.cpp
@@ -1,5 +1,5 @@
-// Two ends of an SMPP session wired together without sockets: states, numbers, windows, timers, and a peer
-// that answers late, twice, out of order or with nonsense.
+// Tests of both sides of an SMPP session connected without sockets: states, sequence numbers, windows,
+// timers, and a peer whose responses are late, duplicate, out of order or invalid.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -28,7 +28,7 @@
     EXPECT_TRUE(esme.bound());
     at_esme.clear(), at_smsc.clear();
   }
-  // Carries bytes to and fro, in pieces of odd sizes.
+  // Passes bytes in both directions, in pieces of random sizes.
   void pass() {
     while (esme.has_output() || smsc.has_output()) {
       carry(esme.take_output(), smsc, at_smsc);
@@ -68,7 +68,7 @@
     EXPECT_EQ(p.esme.can_request(), how != Command::bind_receiver);
     EXPECT_EQ(p.smsc.can_request(), how != Command::bind_transmitter);
     if (!p.esme.can_request()) {
-      // Section 2.3: sent all the same, it is answered, not taken.
+      // Section 2.3: a request sent anyway is answered with an error and not accepted.
       p.esme.request(p.now, Command::submit_sm, text("no"));
       p.pass();
       ASSERT_EQ(p.count(p.at_esme, Type::response), 1u);
@@ -84,7 +84,7 @@
   esme.bind(0, Command::bind_transmitter, {"bank", "wrong", "", 0x34, {}});
   const auto bind = esme.take_output();
   smsc.receive(0, bind, events);
-  smsc.receive(0, bind, events);  // impatient: answered, but it counts for nothing
+  smsc.receive(0, bind, events);  // a second bind before the answer is rejected and has no effect
   ASSERT_EQ(events.size(), 2u);
   EXPECT_EQ(events[1].type, Type::mistake);
   smsc.reject(status::wrong_password);
@@ -113,12 +113,12 @@
   EXPECT_EQ(p.at_esme[0].type, Type::response);
   EXPECT_EQ(p.at_esme[0].pdu.sequence, numbers[3]);
   EXPECT_EQ(p.at_esme[1].type, Type::stray);
-  // One is given up: it keeps its place, and its response is told as late.
+  // An abandoned request stays in the window, and its response is reported as late.
   p.esme.abandon(numbers[0]);
   p.smsc.respond(requests[0].pdu, status::ok, MessageResp{"id-0", {}});
   p.pass();
   EXPECT_EQ(p.at_esme.back().type, Type::late);
-  // The rest expire, and answer too late.
+  // The other requests expire; their responses come too late.
   p.quiet = true;
   p.wait(2 * kS);
   EXPECT_EQ(p.count(p.at_esme, Type::expired), 2u);
@@ -126,7 +126,7 @@
   p.smsc.respond(requests[1].pdu, status::ok, MessageResp{"id-1", {}});
   p.pass();
   EXPECT_EQ(p.at_esme.back().type, Type::late);
-  // A response of another kind than was asked for answers nothing.
+  // A response of another type than the request does not answer it.
   const auto n = p.esme.request(p.now, Command::submit_sm, text("m"));
   std::string odd;
   encode({Command::query_sm_resp, status::ok, n, QueryResp{"x", "", 2, 0}}, odd);
@@ -193,9 +193,9 @@
   s.enquire_after = 1 * kS, s.response = 2 * kS;
   Pair p(s);
   p.wait(10 * kS);
-  EXPECT_TRUE(p.esme.bound()) << "both are silent, but enquiries are answered";
+  EXPECT_TRUE(p.esme.bound()) << "no messages, but enquire_link is answered";
   EXPECT_GE(p.count(p.at_esme, Type::alive), 3u);
-  // The peer answers submits, but no enquiries.
+  // The peer answers submits, but not enquire_link.
   const auto answer_submits_only = [&] {
     const auto n = p.esme.request(p.now, Command::submit_sm, text("m"));
     p.esme.take_output();
@@ -211,7 +211,7 @@
     p.esme.tick(p.now, p.at_esme);
     ASSERT_TRUE(p.esme.bound()) << i;
   }
-  // Nothing at all: that is a loss.
+  // Without any response the session fails.
   for (int i = 0; i < 10 && p.esme.bound(); i++) p.now += kS, p.esme.tick(p.now, p.at_esme);
   EXPECT_EQ(p.at_esme.back().what, "enquire_link was not answered");
 }
--- a/tests/smpp_test.cpp
+++ b/tests/smpp_test.cpp
@@ -1,5 +1,5 @@
-// SMPP PDUs and texts: wire vectors made by hand from the specification, for every command; properties on
-// random ones; and what a peer may do to lengths.
+// Tests of SMPP PDUs and texts: hand-made wire vectors from the specification for every command, properties
+// of random input, and invalid lengths.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -128,8 +128,8 @@
   EXPECT_EQ(seen.size(), 27u);
 }
 
-// However a PDU is cut short, or its bytes are changed, it is read as what it then says or refused; never
-// beyond its end. What is read comes out of the encoder as it came in.
+// A PDU that is truncated or has changed bytes is either decoded as it stands or rejected, and is never read
+// beyond its end. Encoding what was decoded gives the same bytes.
 TEST(SmppPdu, CutAndChangedBytesAreRefusedOrReadAsTheyAre) {
   std::mt19937 random(5);
   std::size_t refused = 0, read = 0;
@@ -150,7 +150,7 @@
     if (out.size() == wire.size()) {
       EXPECT_EQ(out, wire);
     } else {
-      EXPECT_TRUE(is_response(pdu.command)) << "only what responses may leave out differs";
+      EXPECT_TRUE(is_response(pdu.command)) << "only fields that responses may leave out differ";
     }
   };
   for (const auto& v : vectors()) {
@@ -175,7 +175,7 @@
   EXPECT_EQ(refusal("00000010 00000077 00000000 00000001").status, status::invalid_command);
   EXPECT_EQ(refusal("00000010 00000004 00000000").status, status::invalid_command_length);
   EXPECT_EQ(refusal("00000011 00000015 00000000 00000001 00").status, status::invalid_command_length);
-  // A system_id of 16 characters and no end within its bound; a message longer than what is left.
+  // A system_id of 16 characters without a NUL within its bound; a message longer than the remaining bytes.
   const auto long_id = refusal("00000022 00000001 00000000 00000001 61616161616161616161616161616161 00 00");
   EXPECT_EQ(long_id.status, status::invalid_system_id);
   EXPECT_NE(long_id.what.find("system_id is longer"), std::string::npos);
@@ -246,7 +246,7 @@
   EXPECT_FALSE(fewest_parts("\xc3"));
 }
 
-// Random texts in every alphabet, by every way of splitting, parts in any order and some twice.
+// Random texts in every alphabet, with every way of splitting; parts arrive in any order and some twice.
 TEST(SmppText, LongMessagesComeBackWhole) {
   std::mt19937 random(9);
   const std::vector<std::string> letters = {"a", "Z", "€", "[", "é", "\n", "😀", "ł"};
@@ -268,7 +268,7 @@
       std::string wire;
       encode({Command::submit_sm, 0, 1, part}, wire);
       const auto got = taken_apart(std::get<Message>(std::get<Pdu>(decode(wire)).body));
-      EXPECT_TRUE(from_coding(got.text, coding)) << "a character was cut";
+      EXPECT_TRUE(from_coding(got.text, coding)) << "a character was split";
       if (!got.part)
         whole = got.text;
       else if (auto all = assembly.add("x", *got.part, got.text))
