--- a/src/sms/bind_link.hpp
+++ b/src/sms/bind_link.hpp
@@ -39,11 +39,10 @@
  private:
   // A call that was submitted and has no outcome yet.
   struct Out {
-    std::deque<smpp::Message> unsent;  // parts not yet sent
-    std::map<std::uint32_t, std::uint64_t>
-        waiting;                       // by sequence number: offset of its first byte in the stream
-    std::vector<relay::Ending> ended;  // outcomes of the parts that have one
-    bool broken = false;               // a part was not accepted: the unsent ones are not sent any more
+    std::deque<smpp::Message> unsent;                // parts not yet sent
+    std::map<std::uint32_t, std::uint64_t> waiting;  // by sequence number: stream offset of its first byte
+    std::vector<relay::Ending> ended;                // outcomes of the parts that have one
+    bool broken = false;  // a part was not accepted: the unsent ones are not sent any more
   };
   void receive(std::string_view bytes);
   void tick();
