--- a/src/sms/bind_guard.hpp
+++ b/src/sms/bind_guard.hpp
@@ -36,8 +36,7 @@
  private:
   struct Entry {
     std::string key;
-    int wrong = 0,
-        rests = 0;  // consecutive failures since the last delay; delays since the last quiet period
+    int wrong = 0, rests = 0;  // failures since the last delay; delays since the last quiet period
     Time until = 0, last = 0;  // blocked until; time of the latest failure
   };
   // The entry of this key as the most recently used one; creates it where there is none.
