--- a/src/sms/semantics.hpp
+++ b/src/sms/semantics.hpp
@@ -20,8 +20,7 @@
 namespace own {
 constexpr std::uint16_t key = 0x1401;    // Idempotency-Key, up to 256 octets
 constexpr std::uint16_t topic = 0x1402;  // Topic, up to 32 octets
-constexpr std::uint16_t wait =
-    0x1403;  // told wait, or time after which to submit again, in seconds, 4 octets
+constexpr std::uint16_t wait = 0x1403;   // told wait or time until a new try, in seconds, 4 octets
 }  // namespace own
 
 // ---- To an endpoint ----
