--- a/src/gateway/front.cpp
+++ b/src/gateway/front.cpp
@@ -441,7 +441,7 @@
     flush(*c);
   }
   for (const auto id : stalled) {
-    host_.log("client connection closed: the client did not read its answers in time");
+    host_.log("client reads nothing: cut off");
     close(id, "stalled", true);
   }
   sweep_timer_ = loop_.after(limit / 4 + 1, [this] { sweep(); });
--- a/src/sms/front.cpp
+++ b/src/sms/front.cpp
@@ -177,8 +177,8 @@
   const auto reject = [&](smpp::Status why) {
     // Logs one rejection in 100, so that a flood of binds does not fill the log.
     if (turned_down_++ % 100 == 0)
-      host_.log("bind of '" + bind.system_id + "' from " + c.from + " rejected: " + smpp::name_of(why) +
-                " (" + std::to_string(turned_down_) + " rejected so far)");
+      host_.log("bind of '" + bind.system_id + "' from " + c.from + " turned down: " + smpp::name_of(why) +
+                " (" + std::to_string(turned_down_) + " so far)");
     c.session.reject(why);
     flush(c);
     c.closing = true;
@@ -231,7 +231,7 @@
     if (now - c->progress_at > settings_.stalled_after) stalled.push_back(id);
   }
   for (const auto id : stalled) {
-    host_.log("client did not read its responses in time; disconnected");
+    host_.log("client reads nothing: cut off");
     close(id, "stalled", true);
   }
   receipts_.tick(now);
