--- a/lab/baselines.cpp
+++ b/lab/baselines.cpp
@@ -1,3 +1,4 @@
+// Simple retry policies, implemented as deciders for the relay core.
 #include "lab/baselines.hpp"
 
 #include <algorithm>
@@ -11,9 +12,15 @@
 namespace cedarplank::lab {
 namespace {
 
-constexpr Time kFixed = 500'000, kFirst = 100'000, kMost = 5'000'000;
-constexpr double kTokensMost = 10, kTokenRatio = 0.1;  // gRPC's usual figures (gRFC A6)
+// Retry delays in microseconds: the fixed delay, and the base and upper bound of the exponential back-off.
+constexpr Time kFixedDelay = 500'000, kBackoffBase = 100'000, kBackoffMax = 5'000'000;
+// Retry throttling with the values usual for gRPC (gRFC A6): the size of the token budget, and what a served
+// attempt adds to it.
+constexpr double kTokensMax = 10, kTokenRatio = 0.1;
 
+// One policy: sends to random active endpoints and retries after a failed attempt where the policy and the
+// message's effect class allow it. Each message has two timer tokens: id * 2 for its next attempt and
+// id * 2 + 1 for its deadline.
 class Baseline final : public relay::Decider {
  public:
   Baseline(Policy policy, const Settings& settings, std::uint64_t seed)
@@ -28,19 +35,19 @@
   struct Message {
     DestinationId destination = 0;
     const ClassSettings* cls = nullptr;
-    Time deadline = 0, first_doubt = -1;
+    Time deadline = 0, first_uncertain = -1;  // first_uncertain: end of the first attempt that may have run
     int sends = 0;
-    bool out = false;
+    bool in_flight = false;
   };
 
   void on(const event::ListWhole& e) {
     endpoints_.clear();
-    for (const auto& x : e.endpoints) take(x);
+    for (const auto& x : e.endpoints) update_endpoint(x);
   }
   void on(const event::ListChanges& e) {
-    for (const auto& x : e.endpoints) take(x);
+    for (const auto& x : e.endpoints) update_endpoint(x);
   }
-  void take(const Endpoint& e) {
+  void update_endpoint(const Endpoint& e) {
     auto& all = endpoints_[e.destination];
     std::erase(all, e.id);
     if (e.listing == Listing::active) all.push_back(e.id);
@@ -61,43 +68,46 @@
     const auto it = messages_.find(e.token / 2);
     if (it == messages_.end()) return;
     if (e.token % 2 == 1) return end(it);
-    if (!it->second.out) send(it->first, it->second);
+    if (!it->second.in_flight) send(it->first, it->second);
   }
   void on(const event::AttemptEnded& e) {
-    if (e.outcome == Outcome::served) tokens_ = std::min(kTokensMost, tokens_ + kTokenRatio);
+    if (e.outcome == Outcome::served) tokens_ = std::min(kTokensMax, tokens_ + kTokenRatio);
     const auto it = messages_.find(e.id);
     if (it == messages_.end()) return;
     Message& m = it->second;
-    m.out = false;
+    m.in_flight = false;
     if (e.closed || e.outcome == Outcome::served) {
       messages_.erase(it);
       return;
     }
-    if (!relay::proves_unrun(e.outcome) && m.first_doubt < 0) m.first_doubt = now_;
+    if (!relay::proves_unrun(e.outcome) && m.first_uncertain < 0) m.first_uncertain = now_;
     if (e.outcome != Outcome::not_sent) tokens_ = std::max(0.0, tokens_ - 1);
-    const double dice = std::uniform_real_distribution<double>()(random_);
-    Time wait = kFixed;
+    const double jitter = std::uniform_real_distribution<double>()(random_);
+    Time wait = kFixedDelay;
     if (policy_ == Policy::exponential || policy_ == Policy::token_bucket)
-      wait = static_cast<Time>(dice * std::min<double>(kMost, kFirst * std::exp2(std::min(20, m.sends))));
-    const bool may = policy_ != Policy::one_try && m.sends < set_.attempts_max &&
-                     now_ + wait < m.deadline - 2 * set_.tick &&
-                     (policy_ != Policy::token_bucket || tokens_ > kTokensMost / 2);
-    // Baselines keep the rules of effects: a repeat that could do harm is nobody's policy.
-    const bool harmless = m.first_doubt < 0 || m.cls->effect == Effect::safe ||
-                          (m.cls->effect == Effect::keyed && now_ + wait < m.first_doubt + m.cls->key_window);
-    if (!may || !harmless) return end(it);
+      wait = static_cast<Time>(
+          jitter * std::min<double>(kBackoffMax, kBackoffBase * std::exp2(std::min(20, m.sends))));
+    const bool may_retry = policy_ != Policy::one_try && m.sends < set_.attempts_max &&
+                           now_ + wait < m.deadline - 2 * set_.tick &&
+                           (policy_ != Policy::token_bucket || tokens_ > kTokensMax / 2);
+    // Baselines obey the effect classes too: no policy repeats a message where that could apply its effect
+    // twice.
+    const bool repeat_safe =
+        m.first_uncertain < 0 || m.cls->effect == Effect::safe ||
+        (m.cls->effect == Effect::keyed && now_ + wait < m.first_uncertain + m.cls->key_window);
+    if (!may_retry || !repeat_safe) return end(it);
     out_->emplace_back(action::SetTimer{wait, it->first * 2});
   }
   void send(MessageId id, Message& m) {
     const auto& all = endpoints_[m.destination];
     if (all.empty()) return;
-    m.sends++, m.out = true;
+    m.sends++, m.in_flight = true;
     const auto& endpoint = all[random_(static_cast<std::uint32_t>(all.size()))];
     out_->emplace_back(action::Send{id, endpoint, std::max<Time>(0, m.deadline - now_)});
   }
   void end(std::map<MessageId, Message>::iterator it) {
     const Message& m = it->second;
-    const relay::History history{m.first_doubt >= 0, m.out};
+    const relay::History history{m.first_uncertain >= 0, m.in_flight};
     if (relay::fate_at_stop(*m.cls, history) == relay::Fate::refuse)
       out_->emplace_back(action::Refuse{it->first, 0});
     else
@@ -112,7 +122,7 @@
   std::vector<Action>* out_ = nullptr;
   std::map<DestinationId, std::vector<EndpointId>> endpoints_;
   std::map<MessageId, Message> messages_;
-  double tokens_ = kTokensMost;
+  double tokens_ = kTokensMax;
 };
 
 }  // namespace
--- a/lab/baselines.hpp
+++ b/lab/baselines.hpp
@@ -1,5 +1,5 @@
-// Plain policies to compare the module with, on the same days. They are baselines only: no product path uses
-// them.
+// Simple retry policies to compare the dispatcher with in equal simulations. They are baselines only: the
+// relay never uses them.
 #pragma once
 
 #include <map>
@@ -11,15 +11,17 @@
 namespace cedarplank::lab {
 
 enum class Policy {
-  ours,         // the module
+  ours,         // the dispatcher of the product
   one_try,      // one attempt at a random endpoint
   fixed,        // further attempts after a fixed time
   exponential,  // after an exponential back-off with full jitter
-  token_bucket  // as exponential, but retries only while a budget lasts that serves refill (gRPC's retry
-                // throttling)
+  token_bucket  // as exponential, but retries only while a token budget lasts; served attempts refill it (as
+                // gRPC's retry throttling does)
 };
+// The policies by the names that the command line and the records use.
 const std::map<std::string, Policy>& policy_names();
 
+// Equal seeds give equal decisions.
 std::unique_ptr<relay::Decider> make_decider(Policy policy, const Settings& settings, std::uint64_t seed);
 
 }  // namespace cedarplank::lab
--- a/lab/charts.cpp
+++ b/lab/charts.cpp
@@ -1,4 +1,4 @@
-// Charts of an experiment, drawn by gnuplot as SVG.
+// Charts of an experiment, rendered as SVG by gnuplot.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -15,11 +15,14 @@
 
 namespace fs = std::filesystem;
 
+// One curve of a chart.
 struct Line {
   std::string title;
-  std::vector<std::array<double, 3>> points;  // x, y, half width of the interval
+  std::vector<std::array<double, 3>> points;  // x, y, half width of the confidence interval
 };
 
+// Renders one chart to NAME.svg in the folder and keeps its data beside it as NAME.dat. `bars`: with error
+// bars.
 void draw(const fs::path& folder, const std::string& name, const std::string& title, const std::string& x,
           const std::string& y, const std::vector<Line>& lines, bool bars) {
   const fs::path data = folder / (name + ".dat"), script = folder / (name + ".gp");
@@ -48,15 +51,15 @@
   gp.close();
   const std::string command = "gnuplot '" + script.string() + "' 2>&1";
   FILE* pipe = popen(command.c_str(), "r");
-  if (pipe == nullptr) throw std::runtime_error("gnuplot can't be started");
-  std::string said;
+  if (pipe == nullptr) throw std::runtime_error("gnuplot could not be started");
+  std::string output;
   char buffer[256];
-  while (std::fgets(buffer, sizeof buffer, pipe) != nullptr) said += buffer;
-  if (pclose(pipe) != 0) throw std::runtime_error("gnuplot failed (Debian package gnuplot-nox): " + said);
+  while (std::fgets(buffer, sizeof buffer, pipe) != nullptr) output += buffer;
+  if (pclose(pipe) != 0) throw std::runtime_error("gnuplot failed (Debian package gnuplot-nox): " + output);
   fs::remove(script);
 }
 
-// The mean over seeds of what happens in each second.
+// The mean over the seeds of a figure of each second.
 template <class Get>
 Line by_second(const std::string& title, const std::vector<const Cell*>& cells, Get get) {
   Line line{title, {}};
@@ -76,7 +79,7 @@
 
 std::vector<std::string> write_charts(const Experiment& e, const std::string& folder) {
   if (folder.find('\'') != std::string::npos)
-    throw std::runtime_error("charts: the folder's name holds a quote");
+    throw std::runtime_error("charts: the folder's name contains a single quote");
   fs::create_directories(folder);
   std::vector<std::string> names;
   const auto add = [&](const std::string& name, const std::string& title, const std::string& x,
@@ -95,6 +98,7 @@
     };
     if (std::none_of(settings.begin(), settings.end(), same)) settings.push_back(c.settings);
   }
+  // The runs of one policy with one combination of settings that finished without an error.
   const auto cells_of = [&](std::size_t setting, const std::string& policy) {
     std::vector<const Cell*> found;
     for (const auto& c : e.cells) {
@@ -105,7 +109,7 @@
     }
     return found;
   };
-  // Over time, for the last setting: where a sweep rises, that is the hardest.
+  // Over time, for the last setting: the hardest one in a sweep with rising values.
   const std::size_t last = settings.size() - 1;
   std::vector<Line> served, held, refused, by_class;
   for (const auto& policy : policies) {
@@ -131,7 +135,7 @@
   if (!by_class.empty())
     add("by_class", "Served by class (ours), " + e.where, "second", "messages a second", by_class, false);
   if (settings.size() < 2) return names;
-  // Over the sweep's first variable, as a number where it is one.
+  // Over the first variable of the sweep: its value where that is a number, else its position.
   for (const std::string name : {"served", "in_aim", "p99_ms", "attempts", "refused_calls"}) {
     std::vector<Line> lines;
     for (const auto& policy : policies) {
--- a/lab/clock.hpp
+++ b/lab/clock.hpp
@@ -1,4 +1,5 @@
-// Virtual time: what is to happen, in order. Equal times keep the order in which they were asked for.
+// Virtual clock of a simulation: an event queue ordered by time. Events with equal times run in the order in
+// which they were scheduled.
 #pragma once
 
 #include <algorithm>
@@ -11,16 +12,18 @@
 
 using Time = std::int64_t;  // microseconds
 
+// Time advances only in run().
 class Clock {
  public:
   using Callback = std::function<void()>;
   Time now() const { return now_; }
+  // Schedules `f`; a time in the past means now.
   void at(Time when, Callback f) {
     events_.push_back({std::max(when, now_), next_++, std::move(f)});
     std::push_heap(events_.begin(), events_.end(), Later{});
   }
   void after(Time delay, Callback f) { at(now_ + delay, std::move(f)); }
-  // Runs what is due up to `until`, or until `done`.
+  // Runs the events that are due up to `until`, or until `done()` returns true.
   template <class Done>
   void run(Time until, Done done) {
     while (!events_.empty() && events_.front().when <= until && !done()) {
@@ -32,7 +35,7 @@
     }
     if (!done()) now_ = std::max(now_, until);
   }
-  std::uint64_t ran() const { return ran_; }
+  std::uint64_t ran() const { return ran_; }  // number of events run
 
  private:
   struct Event {
@@ -47,7 +50,7 @@
   };
   std::vector<Event> events_;
   std::uint64_t next_ = 0, ran_ = 0;
-  Time now_ = 1'000'000;  // not 0: that means "never" in places
+  Time now_ = 1'000'000;  // not 0, which means "never" in some fields
 };
 
 }  // namespace cedarplank::lab
--- a/lab/day.hpp
+++ b/lab/day.hpp
@@ -1,5 +1,5 @@
-// The parts of a virtual day: relays, connections, endpoints and what holds them together. Inside the lab
-// only.
+// The parts of a simulation in virtual time: relays, connections, endpoints and the world that connects them.
+// Internal to the simulation lab.
 #pragma once
 
 #include <functional>
@@ -24,27 +24,28 @@
 class World;
 class Relay;
 
-// A connection between a relay and an endpoint; each end has its own view of whether it is open.
+// A simulated connection between a relay and an endpoint. Each end has its own view of whether it is open.
 struct Conn {
   Relay* relay = nullptr;
-  std::uint64_t life = 0;  // of the relay
+  std::uint64_t life = 0;  // the relay's incarnation that opened it
   EndpointId endpoint;
   int kind = 0;
   pool::LinkId link = 0;
   std::uint64_t number = 0;
-  bool open_here = false;  // at the endpoint
-  bool dead = false, went_away = false;
+  bool open_here = false;                // at the endpoint
+  bool dead = false, went_away = false;  // the endpoint: no longer answers on it; has sent GOAWAY
   Time last_used = 0;
-  struct Out {
-    std::size_t seen = kNone;  // place in what was observed, once it has arrived
-    bool over = false;         // for the endpoint: answered, or its caller gave it up
+  struct Out {                 // a call at the endpoint
+    std::size_t seen = kNone;  // index of its record among the observed calls, once it has arrived
+    bool over = false;         // for the endpoint: answered, or reset by the relay
   };
   std::map<relay::CallId, Out> at_endpoint;
   std::set<relay::CallId> at_relay;
 };
 using ConnRef = std::shared_ptr<Conn>;
-// By number, as opened. Guards against days that differ from run to run: pointers order by where the heap had
-// room, and what an endpoint sends to all its connections at once goes out in the set's order.
+// Orders connections by number, that is, in the order in which they were opened. An endpoint that sends to
+// all its connections at once sends in the order of the set; ordering by pointer would depend on heap
+// addresses, so that equal scenarios could give different results.
 struct ByNumber {
   bool operator()(const ConnRef& a, const ConnRef& b) const { return a->number < b->number; }
 };
@@ -53,11 +54,11 @@
   std::size_t destination = 0;
   emulator::EndpointSettings settings;
   std::set<ConnRef, ByNumber> conns;
-  std::vector<std::function<void()>> paused;  // what came during a pause
+  std::vector<std::function<void()>> paused;  // work that arrived during a pause, to be run after it
   bool stopped = false, vanished = false;
 };
 
-// One relay's end of a connection, as the driver knows it.
+// The relay's end of a connection, in the form that the endpoint driver uses.
 class VirtualLink final : public back::Link {
  public:
   VirtualLink(World& world, ConnRef conn) : w_(world), c_(std::move(conn)) {}
@@ -67,7 +68,7 @@
   void ping() override;
   void close() override;
   void drop() override;
-  std::optional<Room> room() override { return std::nullopt; }  // told as it changes
+  std::optional<Room> room() override { return std::nullopt; }  // changes are reported as they occur
   relay::Ending ending_when_lost(relay::CallId call, const std::string& why) override;
 
  private:
@@ -76,6 +77,8 @@
   bool closed_ = false;
 };
 
+// A relay in virtual time: the product's relay core and endpoint driver on simulated connections. It can
+// crash and restart, and stall (stand still without losing its state).
 class Relay final : relay::Answers, relay::ListSource, relay::Notes, relay::Log {
  public:
   Relay(World& world, int rank);
@@ -84,20 +87,25 @@
   void stall() { stalled_ = true; }
   void go_on();
   bool up() const { return up_; }
-  std::uint64_t life() const { return life_; }
+  std::uint64_t life() const { return life_; }  // changes at each start and crash
   Time started() const { return started_; }
   const std::string& name() const { return name_; }
   std::size_t held() const { return desk_ ? desk_->core().held() : 0; }
+  // Connections opened in all incarnations.
   std::uint64_t opened() const { return opened_ + (driver_ ? driver_->opened() : 0); }
 
-  // Runs `f` on this relay at a time, unless that life is over by then; later where it stands still.
+  // Runs `f` on this relay at a time, unless it has crashed or restarted by then. While the relay is stalled,
+  // `f` waits until the stall ends.
   void on_relay(Time when, std::function<void()> f);
+  // A client submits a message, or resets its request. `try_index`: the client's try among the observed ones.
   void take(std::size_t try_index, relay::NewMessage message);
   void give_up(std::size_t try_index);
+  // Rereads the partner list; where it can't be read, tries again at the reread interval.
   void look_at_list();
+  // A note from another relay.
   void note(int from, const std::string& body) { desk_->core().note(from, body), poke(); }
 
-  // From endpoints.
+  // Events of a connection, as they arrive from its endpoint.
   void standing(const ConnRef& c, std::uint32_t streams);
   void streams_told(const ConnRef& c, std::uint32_t streams);
   void conn_lost(const ConnRef& c, const std::string& why);
@@ -124,8 +132,8 @@
   void answer(MessageId id, const char* status, Time back);
   void end_on(const ConnRef& c, relay::CallId id, relay::Ending ending);
   std::unique_ptr<back::Driver> make_driver();
-  void poke();
-  void rearm_core();
+  void poke();        // schedules a turn of the core, once
+  void rearm_core();  // schedules the core's next due turn
   void set_endpoints();
 
   World& w_;
@@ -145,6 +153,8 @@
   Time timer_at_ = 0;
 };
 
+// A whole simulation: clients, relays, endpoints and the network between them. The script of the scenario
+// drives it as its stage.
 class World final : public rig::Stage {
  public:
   World(const rig::Scenario& scenario, const WorldOptions& options)
@@ -155,7 +165,7 @@
         book_(load_settings(scenario)) {}
   Figures run();
 
-  // For relays.
+  // For the relays.
   Clock clock;
   const config::RelaySettings& settings() const { return template_; }
   Policy policy() const { return options_.policy; }
@@ -164,7 +174,7 @@
   std::uint64_t seed() const { return s_.seed; }
   bool keeps_stories() const { return static_cast<bool>(options_.story); }
   void keep(trace::Story&& story) {
-    story.wall = story.taken;  // virtual time begins at 1970
+    story.wall = story.taken;  // virtual time counts from 1970
     options_.story(std::move(story));
   }
   pcg64& random() { return random_; }
@@ -174,11 +184,11 @@
   void call(const ConnRef& c, relay::CallId id, std::shared_ptr<const relay::NewMessage> message);
   void reset_call(const ConnRef& c, relay::CallId id);
   void ping(const ConnRef& c);
-  void close_conn(const ConnRef& c);  // by its relay
-  void tell(int from, int whom, const std::string& body);
+  void close_conn(const ConnRef& c);                       // by its relay
+  void tell(int from, int whom, const std::string& body);  // a note to one relay; whom < 0: to all others
   void answer(std::size_t try_index, const char* status, Time back);
 
-  // Stage.
+  // rig::Stage.
   Time now() override { return clock.now(); }
   void at(Time when, std::function<void()> f) override { clock.at(when, std::move(f)); }
   void fault_begins(const std::string& id, const emulator::FaultSettings& f) override;
@@ -205,18 +215,20 @@
   }
   Relay& relay(int i) { return *relays_[static_cast<std::size_t>(i)]; }
   emulator::Partner& partner(const Endpoint& e) { return *partners_[e.destination]; }
+  // A call reaches the endpoint; is read by it, after a pause if there is one; and is handled as the emulated
+  // partner planned.
   void arrive(const ConnRef& c, relay::CallId id, const std::shared_ptr<const relay::NewMessage>& message);
   void read(const ConnRef& c, relay::CallId id, const std::shared_ptr<const relay::NewMessage>& message);
   void carry_out(const ConnRef& c, relay::CallId id, const std::string& message, const std::string& key,
                  const emulator::Plan& plan);
   void tell_streams(const std::string& id);
-  void drop(const ConnRef& c);    // by its endpoint, with a reset
-  void forget(const ConnRef& c);  // at the endpoint
+  void drop(const ConnRef& c);    // the endpoint resets the connection
+  void forget(const ConnRef& c);  // removes the connection at the endpoint
   void to_relay(const ConnRef& c, std::function<void(Relay&)> f);
-  void ask();
+  void ask();  // creates the load's next message and schedules the one after it
   void submit(rig::LoadBook::Message m);
-  void follow(rig::LoadBook::Message m, rig::LoadBook::Next next);
-  void sample();
+  void follow(rig::LoadBook::Message m, rig::LoadBook::Next next);  // schedules the client's retry, if any
+  void sample();  // records once a second how many messages the relays hold
   Figures::Second& second();
   std::string next_address() { return "127.0.0.1:" + std::to_string(next_address_++ % 60'000 + 1); }
 
@@ -234,7 +246,7 @@
   double notes_lost_ = 0;
   rig::Observed observed_;
   std::vector<emulator::Effect> effects_;
-  std::map<std::size_t, rig::LoadBook::Message> open_;  // tries without an end
+  std::map<std::size_t, rig::LoadBook::Message> open_;  // tries without a final answer
   std::uint64_t turn_ = 0, next_conn_ = 1, next_address_ = 1;
   bool asking_ = true;
   Figures figures_;
--- a/lab/draw.cpp
+++ b/lab/draw.cpp
@@ -1,3 +1,4 @@
+// Random scenarios: replaces `draw`, `pick` and `times` by values drawn with a seed.
 #include "lab/draw.hpp"
 
 #include <yaml-cpp/yaml.h>
@@ -11,7 +12,8 @@
 namespace cedarplank::lab {
 namespace {
 
-struct Drawer {
+// Replaces the ranges in a YAML tree by values drawn in document order.
+struct RangeResolver {
   const std::string& file;
   pcg64 random;
 
@@ -19,7 +21,7 @@
     throw config::ConfigError({file + ":" + std::to_string(at.Mark().line + 1) + ": " + what});
   }
 
-  // A number and what follows it: "2.5s" is 2.5 and "s".
+  // Splits a value into its number and its unit: "2.5s" into 2.5 and "s".
   std::pair<double, std::string> split(const YAML::Node& v) const {
     if (!v.IsScalar()) fail(v, "a bound of draw must be a single value");
     const std::string text = v.Scalar();
@@ -28,19 +30,19 @@
       const double number = std::stod(text, &used);
       return {number, text.substr(used)};
     } catch (const std::exception&) {
-      fail(v, "'" + text + "' is no number, rate, size or duration");
+      fail(v, "'" + text + "' is not a number, rate, size or duration");
     }
   }
 
   YAML::Node between(const YAML::Node& v) {
     if (!v.IsSequence() || v.size() != 2) fail(v, "draw takes two bounds: [low, high]");
-    // Durations may differ in their unit; they are drawn to the millisecond.
+    // The bounds of a duration may have different units; it is drawn in whole milliseconds.
     try {
       const auto from = config::parse_duration(v[0].Scalar()), to = config::parse_duration(v[1].Scalar());
       if (from > to) fail(v, "draw's low bound lies above its high one");
       std::uniform_int_distribution<Time> pick(from / 1000, to / 1000);
       return YAML::Node(std::to_string(pick(random)) + "ms");
-    } catch (const std::invalid_argument&) {  // no durations
+    } catch (const std::invalid_argument&) {  // not durations
     }
     const auto [low, unit] = split(v[0]);
     const auto [high, other] = split(v[1]);
@@ -97,8 +99,8 @@
   }
 };
 
-// `path`: keys of maps and places in lists ("destinations.0.servers"). What is not there is made, and left to
-// the schema to refuse.
+// Sets the value at `path`: keys of maps and indexes of lists ("destinations.0.servers"). A missing key is
+// added; the schema rejects it later if it is unknown.
 void override_at(const std::string& file, YAML::Node node, const std::string& path,
                  const std::string& value) {
   const auto dot = path.find('.');
@@ -109,7 +111,7 @@
         !key.empty() && key.size() < 7 && key.find_first_not_of("0123456789") == std::string::npos;
     if (!number || std::stoul(key) >= node.size())
       throw config::ConfigError(
-          {file + ": '" + key + "' names no place in a list of " + std::to_string(node.size())});
+          {file + ": '" + key + "' is not an index of a list of length " + std::to_string(node.size())});
     next.reset(node[std::stoul(key)]);
   } else {
     next.reset(node[key]);
@@ -129,8 +131,8 @@
     throw config::ConfigError({file + ":" + std::to_string(e.mark.line + 1) + ": " + e.msg});
   }
   if (!root.IsMap()) throw config::ConfigError({file + ": a day is a map of settings"});
-  Drawer drawer{file, pcg64(seed * 6'364'136'223'846'793'005ull + 1)};
-  YAML::Node day = drawer.resolve(root);
+  RangeResolver resolver{file, pcg64(seed * 6'364'136'223'846'793'005ull + 1)};
+  YAML::Node day = resolver.resolve(root);
   for (const auto& o : overrides) override_at(file, day, o.path, o.value);
   day["seed"] = seed;
   YAML::Emitter out;
--- a/lab/endpoints.cpp
+++ b/lab/endpoints.cpp
@@ -1,3 +1,4 @@
+// The network and the endpoints of a simulation, and the stage on which the script of the scenario acts.
 #include <algorithm>
 #include <random>
 
@@ -36,7 +37,7 @@
 
 void World::arrive(const ConnRef& c, relay::CallId id,
                    const std::shared_ptr<const relay::NewMessage>& message) {
-  if (!c->open_here) return;  // its relay learns of the loss by itself
+  if (!c->open_here) return;  // the relay is told of the loss separately
   Endpoint& e = endpoints_.at(c->endpoint);
   auto& p = partner(e);
   const Time now = clock.now();
@@ -48,7 +49,7 @@
   seen.connection = c->number, seen.stream = static_cast<std::uint32_t>(id), seen.at = now;
   observed_.calls.push_back(std::move(seen));
   figures_.calls++, second().calls++;
-  // Seen when it comes, also where it is read later: the relay has sent it by now.
+  // The call is recorded on arrival, even if a pause delays its reading: by now the relay has sent it.
   if (!p.reads(c->endpoint)) return e.paused.push_back([this, c, id, message] { read(c, id, message); });
   read(c, id, message);
 }
@@ -62,16 +63,16 @@
   if (p.dead(c->endpoint, now - c->last_used)) c->dead = true;
   c->last_used = now;
   if (c->went_away) {
-    // Above the last stream that its GOAWAY named: that proves that it was not taken.
+    // A stream above the last one that the GOAWAY named: proof that the endpoint didn't process the call.
     auto& seen = observed_.calls[it->second.seen];
     seen.proved_unrun = true, seen.proved_at = now;
   }
   if (c->dead || c->went_away) return;
   const std::string name = record::message_in(message->body);
-  std::size_t alone = 0;
-  for (const auto& [other, o] : c->at_endpoint) alone += !o.over;
+  std::size_t open_calls = 0;
+  for (const auto& [other, o] : c->at_endpoint) open_calls += !o.over;
   const emulator::Partner::Call call{name, message->idempotency_key, record::class_in(message->body),
-                                     alone <= 1};
+                                     open_calls <= 1};
   carry_out(c, id, name, message->idempotency_key, p.call(c->endpoint, now, call));
 }
 
@@ -94,7 +95,7 @@
   }
   const auto then = [this, c, id, message, key, plan] {
     Endpoint& e = endpoints_.at(c->endpoint);
-    // What was taken takes effect, whether or not its caller still waits.
+    // An accepted call takes effect whether or not the relay still waits for its answer.
     if (plan.runs) effects_.push_back({clock.now(), c->endpoint, partner(e).settings().name, message, key});
     if (plan.what == Do::lose) return drop(c);
     const auto it = c->at_endpoint.find(id);
@@ -105,8 +106,8 @@
       rig::Call& s = observed_.calls[at->second.seen];
       s.answered_at = clock.now(), s.status = std::to_string(plan.status);
       s.told_wait = plan.wait <= 0 ? 0 : (plan.wait + 999'999) / 1'000'000 * 1'000'000;
-      const bool unseen = script_->unseen_503(c->endpoint);
-      if (plan.status == 429 || (plan.status == 503 && unseen))
+      const bool counts_as_unrun = script_->unseen_503(c->endpoint);
+      if (plan.status == 429 || (plan.status == 503 && counts_as_unrun))
         s.proved_unrun = true, s.proved_at = clock.now();
       if (plan.status == 429 || plan.status == 503) figures_.refused_calls++, second().refused_calls++;
       c->at_endpoint.erase(at);
@@ -178,7 +179,7 @@
   }
 }
 
-// ---- Stage ----
+// ---- rig::Stage ----
 
 void World::fault_begins(const std::string& id, const emulator::FaultSettings& f) {
   Endpoint& e = endpoints_.at(id);
@@ -196,7 +197,7 @@
   if (f != emulator::Fault::pause) return;
   auto paused = std::move(e.paused);
   e.paused.clear();
-  for (auto& g : paused) g();
+  for (auto& work : paused) work();
 }
 
 void World::tell_streams(const std::string& id) {
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -1,3 +1,4 @@
+// Runs experiments in parallel; tabulates and compares their figures.
 #include "lab/experiment.hpp"
 
 #include <fmt/format.h>
@@ -27,7 +28,8 @@
   return text;
 }
 
-// 97.5% points of Student's t by degrees of freedom; beyond them the normal's.
+// 97.5% quantile of Student's t distribution by degrees of freedom; above 20 an approximation that tends to
+// the quantile of the normal distribution.
 double student(std::size_t freedom) {
   static const double t[] = {12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
                              2.201,  2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086};
@@ -153,7 +155,7 @@
 
 namespace {
 
-// Cells by setting and policy, in the order in which they were planned.
+// The runs by settings and policy, in the order in which they were planned.
 std::vector<std::pair<std::pair<std::string, std::string>, std::vector<const Cell*>>> groups_of(
     const Experiment& e) {
   std::vector<std::pair<std::pair<std::string, std::string>, std::vector<const Cell*>>> groups;
@@ -230,7 +232,7 @@
       }
       if (a.empty()) continue;
       const Mean d = mean_of(difference);
-      // One pair has no interval: nothing can be said of its noise.
+      // A single pair has no confidence interval, so its difference is never marked as significant.
       const bool beyond = d.n > 1 && std::abs(d.mean) > d.half_width && d.mean != 0;
       out += fmt::format("{:<13} {:<14} {:>5} {:>12.4f} {:>12.4f} {:>+12.4f} +-{:<9.4f}  {}\n", key.second,
                          name, d.n, mean_of(a).mean, mean_of(b).mean, d.mean, d.half_width,
--- a/lab/experiment.hpp
+++ b/lab/experiment.hpp
@@ -1,5 +1,6 @@
-// Experiments: days or sweeps, run in parallel, kept as one record (JSON) each, shown as tables, compared
-// with their noise.
+// Experiments: a day or a sweep of its settings, run for several seeds and policies in parallel. An
+// experiment is stored as one JSON record, shown as a table and charts, and compared with another one
+// statistically.
 #pragma once
 
 #include <functional>
@@ -12,7 +13,8 @@
 
 namespace cedarplank::lab {
 
-struct Cell {  // one run
+// The result of one run: one day with one combination of settings, one policy and one seed.
+struct Cell {
   std::vector<Override> settings;
   std::string policy;
   std::uint64_t seed = 0;
@@ -23,60 +25,64 @@
   };
   std::vector<Class> classes;
   std::vector<Figures::Second> seconds;
-  std::vector<std::string> broken;  // rules, one line for each case
-  std::string error;                // why it could not run
+  std::vector<std::string> broken;  // broken rules, one line for each case
+  std::string error;                // why the run failed; empty: it did not
 };
 Cell cell_of(const Figures& figures);
 
 struct Plan {
-  std::string day;  // file
+  std::string day;  // the day's file
   std::vector<std::uint64_t> seeds;
   std::vector<Policy> policies;
-  // A sweep: each path with its values; all combinations are run.
+  // A sweep: each settings path with its values; all combinations are run.
   std::vector<std::pair<std::string, std::vector<std::string>>> sweep;
   int jobs = 1;
   bool judge = true;
-  std::string stories;  // a folder: a file of stories for each run in virtual time; empty: none
-  // Instead of virtual time: plays a day on sockets.
+  std::string stories;  // folder for a file of message traces for each run in virtual time; empty: none
+  // Where set, runs a day on real sockets instead of in virtual time.
   std::function<Cell(const rig::Scenario&)> on_sockets;
 };
 
 struct Experiment {
-  std::string name, day, revision, where;  // "virtual" or "sockets"
+  std::string name, day, revision, where;  // where: "virtual" or "sockets"
   std::vector<Cell> cells;
 };
 
-// `progress` is told how many of how many are done, from any of the threads, one at a time.
+// Runs all combinations of the plan. `progress` is called after each run, from any of the threads but never
+// from two at once.
 Experiment run_plan(const Plan& plan, const std::function<void(std::size_t done, std::size_t all)>& progress);
 
+// The stored record.
 std::string to_json(const Experiment& e);
-// Throws std::runtime_error naming what is wrong.
+// Throws std::runtime_error with the file and the cause.
 Experiment from_json(const std::string& file, const std::string& text);
 
-// What is kept of each run, as far as it can be seen where it ran: "served" and "in_aim" (shares of the
-// messages asked), "p50_ms", "p99_ms", "attempts" (a message), "refused_calls", "falls", "held_most",
-// "connections", "broken", "unanswered", "times_faster" (than the clock).
+// The names of the figures kept of each run, as far as they can be observed where it ran: "served" and
+// "in_aim" (shares of the messages asked), "p50_ms", "p99_ms", "attempts" (per message), "refused_calls",
+// "falls" (overloads of partners), "held_most", "connections", "broken" (cases), "unanswered", "times_faster"
+// (virtual time per real time), and others.
 const std::vector<std::string>& figure_names();
 
-// Mean over the seeds with the half width of its 95% interval (Student's t).
+// Mean over the seeds with the half width of its 95% confidence interval (Student's t).
 struct Mean {
   double mean = 0, half_width = 0;
   std::size_t n = 0;
 };
 Mean mean_of(const std::vector<double>& values);
 
-// One line for each setting and policy.
+// A table with one line for each combination of settings and policy.
 std::string table_of(const Experiment& e);
+// The broken rules and errors of all runs, at most `most` lines and a count of the rest.
 std::string broken_rules_of(const Experiment& e, std::size_t most);
-// Runs of both with equal settings, policy and seed, paired; a difference that its interval does not explain
-// is marked.
+// Pairs the runs with equal settings, policy and seed. Marks a difference whose confidence interval excludes
+// zero.
 std::string compare(const Experiment& before, const Experiment& after);
 
-// Writes SVG charts by gnuplot into a folder; returns their names. Throws where gnuplot can't be run.
+// Writes SVG charts into a folder and returns their file names. Throws where gnuplot can't be run.
 std::vector<std::string> write_charts(const Experiment& e, const std::string& folder);
 
-// A day that breaks a rule, with as few troubles as still break it (delta debugging): the text of a fixed
-// day.
+// A day that breaks a rule, minimized by delta debugging to the troubles that still break one: the text of a
+// scenario without ranges. `broken` is empty where the day breaks no rule.
 struct Shrunk {
   std::string day;
   std::size_t troubles_before = 0, troubles_after = 0, runs = 0;
--- a/lab/record.cpp
+++ b/lab/record.cpp
@@ -1,4 +1,4 @@
-// Experiments as JSON.
+// Experiments as JSON records.
 #include <fmt/format.h>
 #include <rapidjson/document.h>
 #include <rapidjson/error/en.h>
@@ -25,6 +25,7 @@
   w.EndArray();
 }
 
+// Reads values of a record; a missing or wrong one throws with the file and the key.
 struct Reader {
   const std::string& file;
   [[noreturn]] void fail(const std::string& what) const { throw std::runtime_error(file + ": " + what); }
@@ -34,12 +35,12 @@
   }
   std::string text(const rapidjson::Value& v, const char* key) const {
     const auto& x = at(v, key);
-    if (!x.IsString()) fail(std::string("'") + key + "' is no text");
+    if (!x.IsString()) fail(std::string("'") + key + "' is not a string");
     return x.GetString();
   }
   double number(const rapidjson::Value& v, const char* key) const {
     const auto& x = at(v, key);
-    if (!x.IsNumber()) fail(std::string("'") + key + "' is no number");
+    if (!x.IsNumber()) fail(std::string("'") + key + "' is not a number");
     return x.GetDouble();
   }
   const rapidjson::Value& list(const rapidjson::Value& v, const char* key) const {
@@ -50,7 +51,7 @@
   std::vector<std::uint64_t> counts(const rapidjson::Value& v, const char* key) const {
     std::vector<std::uint64_t> all;
     for (const auto& x : list(v, key).GetArray()) {
-      if (!x.IsUint64()) fail(std::string("'") + key + "' holds what is no count");
+      if (!x.IsUint64()) fail(std::string("'") + key + "' contains a value that is not a count");
       all.push_back(x.GetUint64());
     }
     return all;
@@ -94,7 +95,7 @@
     w.Key("broken"), w.StartArray();
     for (const auto& line : c.broken) w.String(line.c_str());
     w.EndArray();
-    // By second: lists, one for each figure.
+    // Figures by second, as one list for each figure.
     std::vector<std::uint64_t> asked, served, in_aim, calls, refused, held;
     for (const auto& s : c.seconds)
       asked.push_back(s.asked), served.push_back(s.served), in_aim.push_back(s.in_aim),
@@ -146,15 +147,15 @@
                calls = r.counts(s, "calls"), refused = r.counts(s, "refused_calls"),
                held = r.counts(s, "held");
     for (const auto* other : {&served, &in_aim, &calls, &refused, &held})
-      if (other->size() != asked.size()) r.fail("the lists by second have different lengths");
+      if (other->size() != asked.size()) r.fail("the lists of 'seconds' have different lengths");
     for (std::size_t i = 0; i < asked.size(); i++)
       c.seconds.push_back(
           {asked[i], served[i], in_aim[i], calls[i], refused[i], static_cast<std::size_t>(held[i]), {}});
     for (const auto& list : r.list(s, "served_by_class").GetArray()) {
       if (!list.IsArray() || list.Size() != asked.size())
-        r.fail("served_by_class does not match the seconds");
+        r.fail("the lists of 'served_by_class' and 'seconds' have different lengths");
       for (rapidjson::SizeType i = 0; i < list.Size(); i++) {
-        if (!list[i].IsUint64()) r.fail("served_by_class holds what is no count");
+        if (!list[i].IsUint64()) r.fail("'served_by_class' contains a value that is not a count");
         c.seconds[i].served_by_class.push_back(list[i].GetUint64());
       }
     }
--- a/lab/relay.cpp
+++ b/lab/relay.cpp
@@ -1,3 +1,4 @@
+// A relay in virtual time, and its end of simulated connections.
 #include <algorithm>
 
 #include "gateway/semantics.hpp"
@@ -8,7 +9,7 @@
 Relay::Relay(World& world, int rank) : w_(world), rank_(rank), name_("relay-" + std::to_string(rank)) {
   settings_ = w_.settings();
   settings_.dispatcher.relays = w_.relays(), settings_.dispatcher.rank = rank;
-  settings_.dispatcher.peers = true;  // as on sockets, where drills give each relay its peers
+  settings_.dispatcher.peers = true;  // as in runs on sockets, where each relay is configured with its peers
 }
 
 void Relay::start() {
@@ -26,7 +27,7 @@
   desk_ = std::make_unique<relay::Desk>(settings_, make_decider(w_.policy(), settings_.dispatcher, seed),
                                         relay::Desk::Ports{*driver_, *this, *this, *this, std::move(story)});
   poked_ = false, timer_at_ = 0;
-  // Started while the list can't be read: by the copy that it kept.
+  // If the list can't be read now, the relay starts from the copy that it kept of it.
   auto update = book_->take(w_.list(), w_.clock.now());
   set_endpoints();
   desk_->core().list_whole(std::move(update.endpoints), w_.list_state() != rig::Stage::Listing::whole);
@@ -72,7 +73,7 @@
   if (due == kNever || (timer_at_ > w_.clock.now() && timer_at_ <= due)) return;
   timer_at_ = due;
   on_relay(due, [this, due] {
-    if (timer_at_ != due) return;  // an earlier one was set meanwhile
+    if (timer_at_ != due) return;  // an earlier one has been set since
     timer_at_ = 0;
     desk_->core().turn(w_.clock.now());
     rearm_core();
@@ -83,13 +84,14 @@
   const auto destination = book_->destination(message.topic.substr(0, message.topic.find('/')));
   if (!destination) return w_.answer(try_index, "404", 0);
   message.destination = *destination, message.topic.clear();
-  const std::string name = book_->name_of(*destination);
+  const std::string destination_name = book_->name_of(*destination);
   MessageId id = 0;
-  const auto entry = desk_->take(w_.clock.now(), std::move(message), name, *this, [&](MessageId named) {
-    id = named;
-    try_of_[id] = try_index, message_of_[try_index] = id;
-  });
-  // As the front does: short of room, which passes.
+  const auto entry =
+      desk_->take(w_.clock.now(), std::move(message), destination_name, *this, [&](MessageId assigned) {
+        id = assigned;
+        try_of_[id] = try_index, message_of_[try_index] = id;
+      });
+  // As the push server does: a full buffer is a passing state, so the client is asked to retry after 1 s.
   if (entry.taken != relay::Core::Taken::yes)
     answer(id, "503", entry.taken == relay::Core::Taken::full ? 1'000'000 : 0);
   poke();
@@ -204,7 +206,7 @@
   driver_->pump(c->endpoint);
 }
 
-// ---- A connection, from the relay ----
+// ---- The relay's end of a connection ----
 
 back::Link::Submitted VirtualLink::submit(const relay::CallOrder& call, Time) {
   c_->at_relay.insert(call.id);
--- a/lab/shrink.cpp
+++ b/lab/shrink.cpp
@@ -1,6 +1,6 @@
-// A day that breaks a rule, reduced to the troubles that matter: delta debugging (Zeller and Hildebrandt,
-// "Simplifying and Isolating Failure-Inducing Input", 2002) over the list of troubles, then over each
-// trouble's targets and the load.
+// Minimizes a day that breaks a rule to the troubles that still break one: delta debugging (Zeller and
+// Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002) over the list of troubles, then over
+// each trouble's targets and the load.
 #include <yaml-cpp/yaml.h>
 
 #include <algorithm>
@@ -11,6 +11,7 @@
 namespace cedarplank::lab {
 namespace {
 
+// Runs candidate days and keeps the rules that the last failing one broke.
 struct Search {
   const std::string& file;
   Policy policy;
@@ -22,7 +23,8 @@
     out << day;
     return std::string(out.c_str()) + "\n";
   }
-  // Whether the day still breaks a rule or loses an answer; a day that can't be run does not.
+  // Whether the day still breaks a rule or leaves a message without an answer. False for a day that can't be
+  // run.
   bool fails(const YAML::Node& day) {
     runs++;
     WorldOptions options;
@@ -38,7 +40,8 @@
   }
 };
 
-// The fewest items of day[key] that keep it failing, in their order.
+// Removes items of the list that `list_in` finds in the day, in ever smaller parts, as long as the day still
+// fails. The order of the rest is kept.
 void reduce(Search& search, YAML::Node& day, const std::function<YAML::Node(YAML::Node)>& list_in) {
   std::vector<YAML::Node> items;
   for (const auto& item : list_in(day)) items.push_back(item);
@@ -82,13 +85,13 @@
   }
   if (result.troubles_before > 0) reduce(search, day, [](YAML::Node d) { return d["troubles"]; });
   result.troubles_after = day["troubles"] ? day["troubles"].size() : 0;
-  // Then fewer endpoints struck by each, and fewer kinds of message.
+  // Then fewer endpoints affected by each trouble, and fewer message classes.
   for (std::size_t i = 0; i < result.troubles_after; i++)
     if (day["troubles"][i]["on"] && day["troubles"][i]["on"].size() > 1)
       reduce(search, day, [i](YAML::Node d) { return d["troubles"][i]["on"]; });
   if (day["load"]["classes"].size() > 1)
     reduce(search, day, [](YAML::Node d) { return d["load"]["classes"]; });
-  search.fails(day);  // what it breaks now
+  search.fails(day);  // sets what the minimized day breaks
   result.day = search.text_of(day), result.runs = search.runs, result.broken = search.broken;
   return result;
 }
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -1,3 +1,4 @@
+// The clients of a simulation and the run of its whole day.
 #include "lab/world.hpp"
 
 #include <algorithm>
@@ -9,7 +10,7 @@
 namespace day {
 namespace {
 
-constexpr Time kFindsOut = 150'000;  // a client without a relay tries again
+constexpr Time kNoRelayRetryDelay = 150'000;  // microseconds; a client that finds no relay up tries again
 
 }  // namespace
 
@@ -31,13 +32,13 @@
 }
 
 void World::submit(rig::LoadBook::Message m) {
-  // Messages of one key keep to one relay while it runs; the others go round.
+  // Messages with one order key go to one relay while it is up; the others go to the relays in turn.
   const auto n = relays_.size();
   std::size_t at = m.topic.empty() ? static_cast<std::size_t>(turn_++) : std::hash<std::string>()(m.topic),
-              looked = 0;
-  while (looked < n && !relays_[at % n]->up()) at++, looked++;
-  if (looked == n) {
-    clock.after(kFindsOut, [this, m = std::move(m)]() mutable { submit(std::move(m)); });
+              relays_tried = 0;
+  while (relays_tried < n && !relays_[at % n]->up()) at++, relays_tried++;
+  if (relays_tried == n) {
+    clock.after(kNoRelayRetryDelay, [this, m = std::move(m)]() mutable { submit(std::move(m)); });
     return;
   }
   Relay& r = *relays_[at % n];
@@ -53,23 +54,23 @@
   message.tenant = m.tenant, message.time_left = t.ttl;
   if (cls.ordered) message.order_key = t.destination + "/" + m.topic;
   message.idempotency_key = m.key;
-  message.topic = t.destination + "/" + m.topic;  // read and taken off by the relay
+  message.topic = t.destination + "/" + m.topic;  // the relay reads it and removes it
   message.body = "id=" + t.message + ";class=" + cls.name + ";";
   book_.tried(m, clock.now());
   const std::size_t index = observed_.tries.size();
   observed_.tries.push_back(std::move(t));
-  const bool gives_up = book_.gives_up();
+  const bool abandons = book_.gives_up();
   open_[index] = std::move(m);
   r.on_relay(clock.now() + hop(),
              [&r, index, message = std::move(message)]() mutable { r.take(index, std::move(message)); });
-  if (!gives_up) return;
+  if (!abandons) return;
   clock.after(book_.gives_up_after(), [this, &r, index] {
     const auto it = open_.find(index);
     if (it == open_.end()) return;
-    const auto gone = std::move(it->second);
+    const auto abandoned = std::move(it->second);
     open_.erase(it);
     observed_.tries[index].reset_at = clock.now();
-    book_.gave_up(gone);
+    book_.gave_up(abandoned);
     r.on_relay(clock.now() + hop(), [&r, index] { r.give_up(index); });
   });
 }
@@ -128,7 +129,7 @@
   clock.run(begun_ + s_.lasts, [] { return false; });
   asking_ = false;
   clock.run(begun_ + s_.lasts + s_.settle, [this] { return book_.waiting() == 0; });
-  // What was on its way when the last answer came.
+  // Lets events finish that were under way when the last answer came.
   clock.run(clock.now() + 2'000'000, [] { return false; });
   script_->stop();
 
@@ -143,7 +144,7 @@
   f.virtual_s = static_cast<double>(clock.now() - begun_) * 1e-6;
   if (options_.judge) {
     auto facts = script_->facts();
-    facts.slack = 4 * hop() + template_.dispatcher.tick;  // nothing here is slow
+    facts.slack = 4 * hop() + template_.dispatcher.tick;  // no delays of processes or kernels here
     f.verdict = rig::check_rules(facts, observed_, effects_);
   }
   f.real_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - started).count();
--- a/lab/world.hpp
+++ b/lab/world.hpp
@@ -1,6 +1,6 @@
-// A scripted day in virtual time: the real relay core, pool and module of every relay, the emulator's
-// partners, the load book's clients; only sockets, kernels and the time that computing takes are left out.
-// Equal scenarios give equal days.
+// Simulates a scenario in virtual time. Each relay runs the product's relay core, connection pool and
+// dispatcher; partners come from the emulator, clients from the load generator's bookkeeping. Only sockets,
+// the kernel and the time that computing takes are left out. Equal scenarios give equal results.
 #pragma once
 
 #include <string>
@@ -14,12 +14,13 @@
 
 struct WorldOptions {
   Policy policy = Policy::ours;
-  rig::Time hop = 50;                         // one way between client and relay, relay and endpoint; us
-  bool judge = true;                          // check the rules at the end
-  std::function<void(trace::Story&&)> story;  // where set, the relays keep stories by their settings
+  rig::Time hop = 50;  // microseconds one way, between client and relay and between relay and endpoint
+  bool judge = true;   // check the rules at the end of the day
+  std::function<void(trace::Story&&)> story;  // receives the traces that the relays keep by their settings
 };
 
-struct Figures {  // what a day came to
+// The results of a day.
+struct Figures {
   std::vector<std::string> class_names;
   std::vector<rig::LoadBook::Tally> tallies;
   rig::Verdict verdict;
@@ -33,10 +34,11 @@
   };
   std::vector<Second> seconds;
   double virtual_s = 0, real_s = 0;
-  std::uint64_t events = 0;  // of the clock
+  std::uint64_t events = 0;  // run by the virtual clock
 
   std::uint64_t asked() const;
   double served_share() const, in_aim_share() const, attempts_per_message() const;
+  // No broken rule, and exactly one answer for each message.
   bool good() const { return verdict.kept() && unanswered == 0 && doubled == 0; }
 };
 
