--- a/app/check.cpp
+++ b/app/check.cpp
@@ -1,3 +1,4 @@
+// `cedarplank check`: validates the settings of a relay and its partner list.
 #include <algorithm>
 #include <cstdio>
 
--- a/app/commands.hpp
+++ b/app/commands.hpp
@@ -1,4 +1,5 @@
-// The sub-commands of cedarplank. Each adds itself to the command line and returns its exit code.
+// The sub-commands of cedarplank. Each add_ function adds one to the command line; where that one is chosen,
+// it sets `run` to a function that runs it and returns the exit code.
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/app/drill.cpp
+++ b/app/drill.cpp
@@ -1,3 +1,4 @@
+// `cedarplank drill`: runs a scenario against relays as processes.
 #include "rig/drill.hpp"
 
 #include <cstdio>
--- a/app/exit_codes.hpp
+++ b/app/exit_codes.hpp
@@ -1,8 +1,9 @@
+// The exit codes of cedarplank.
 #pragma once
 
 namespace cedarplank::app {
 
-// Exit codes, the same for all sub-commands; docs/operate/running.md lists them.
+// The same for all sub-commands; docs/operate/running.md lists them.
 enum Exit { ok = 0, failed = 1, bad_input = 2, stopped_at_once = 3, rule_broken = 4 };
 
 }  // namespace cedarplank::app
--- a/app/hash_password.cpp
+++ b/app/hash_password.cpp
@@ -1,3 +1,4 @@
+// `cedarplank hash-password`: hashes the password of an SMPP client for the settings.
 #include <cstdio>
 #include <iostream>
 #include <string>
@@ -14,9 +15,9 @@
     run = [] {
       std::string password;
       std::getline(std::cin, password);
-      // SMPP v3.4 section 4.1.1: a C-octet string of at most nine, its end included.
+      // SMPP v3.4 section 4.1.1: a C-octet string of at most 9 octets, the terminating NUL included.
       if (password.empty() || password.size() > 8) {
-        std::fprintf(stderr, "hash-password: 1 to 8 characters on standard input, please\n");
+        std::fprintf(stderr, "hash-password: expected 1 to 8 characters on standard input\n");
         return Exit::bad_input;
       }
       std::puts(sms::hash_password(password).c_str());
--- a/app/journal.cpp
+++ b/app/journal.cpp
@@ -1,4 +1,4 @@
-// `cedarplank journal`: reads, checks and mends a relay's journal while the relay is not running.
+// `cedarplank journal`: inspects, verifies, exports and repairs the journal of a relay that is not running.
 #include <algorithm>
 #include <cstdio>
 #include <filesystem>
@@ -12,27 +12,30 @@
 namespace cedarplank::app {
 namespace {
 
-std::unique_ptr<store::Files> open_or_say(const std::string& folder) {
+// Opens an existing journal; where that fails, reports why on standard error and returns null.
+std::unique_ptr<store::Files> open_or_report(const std::string& folder) {
   try {
     return store::open_folder(folder, store::Folder::existing);
   } catch (const std::system_error& e) {
     if (e.code() == std::errc::resource_unavailable_try_again)
-      std::fprintf(stderr, "journal: %s: a process has it; stop the relay first\n", folder.c_str());
+      std::fprintf(stderr, "journal: %s: in use by another process; stop the relay first\n", folder.c_str());
     else
       std::fprintf(stderr, "journal: %s\n", e.what());
     return nullptr;
   }
 }
 
-struct Read {
+// What a pass over the whole journal found.
+struct Contents {
   store::Inspected log;
   journal::Image image;
   std::map<std::string, std::uint64_t> kinds;
-  std::string bad;  // the first record that is not understood
+  std::string bad;  // the first record that could not be decoded; empty: none
 };
 
-Read read_all(store::Files& files, bool lines, bool only, MessageId message) {
-  Read r;
+// Reads every record. `lines`: prints each as a line of JSON; `only`: only those of `message`.
+Contents read_all(store::Files& files, bool lines, bool only, MessageId message) {
+  Contents r;
   r.log = store::inspect(files, [&](store::Sequence s, std::string_view bytes) {
     journal::Record record;
     const auto why = journal::decode(bytes, record);
@@ -49,7 +52,7 @@
   return r;
 }
 
-void tell(const Read& r) {
+void print_summary(const Contents& r) {
   const auto& log = r.log;
   std::printf("format %u, log %016llx, %zu segments, %zu spare, %llu bytes\n", log.version,
               static_cast<unsigned long long>(log.id), log.segments, log.spare,
@@ -58,17 +61,18 @@
               static_cast<unsigned long long>(log.next - 1));
   for (const auto& [kind, n] : r.kinds)
     std::printf("  %-12s %llu\n", kind.c_str(), static_cast<unsigned long long>(n));
-  std::size_t doubt = 0;
-  for (const auto& [id, held] : r.image.held()) doubt += journal::before_of(held.now).ran_zone >= 0;
+  std::size_t may_have_run = 0;
+  for (const auto& [id, held] : r.image.held()) may_have_run += journal::before_of(held.now).ran_zone >= 0;
   std::printf(
       "run %llu; %zu messages held, %zu of them with an attempt that may have run; %zu answers kept\n",
-      static_cast<unsigned long long>(r.image.base().run), r.image.held().size(), doubt,
+      static_cast<unsigned long long>(r.image.base().run), r.image.held().size(), may_have_run,
       r.image.answers().size());
   std::printf("%zu told waits, %zu endpoints out or returning\n", r.image.waits().size(),
               r.image.health().size());
 }
 
-int verdict(const Read& r) {
+// Prints whether the journal is intact; returns the exit code.
+int print_verdict(const Contents& r) {
   if (r.log.problem) {
     std::printf("%s: %s\n",
                 r.log.problem->what == store::LogProblem::What::corrupt ? "corrupt" : "unreadable",
@@ -86,28 +90,31 @@
   return Exit::ok;
 }
 
-// A lost record may have been that of an attempt, or of an answer: every message that is held afterwards
-// counts as one that may have run, longer ago than any key is remembered, so that nothing runs twice.
-std::vector<journal::Record> doubts_of(const journal::Image& image) {
-  constexpr Time kLongAgo = 24LL * 3'600 * 1'000'000;
+// A lost record may have been that of an attempt or of an answer. So the repaired journal marks every message
+// still held as one that may have run, longer ago than any idempotency key is remembered: only safe messages
+// are sent again, and no effect is applied twice.
+std::vector<journal::Record> records_of_possible_runs(const journal::Image& image) {
+  constexpr Time kBeyondKeyWindows = 24LL * 3'600 * 1'000'000;  // microseconds
   std::vector<journal::Record> records;
   for (const auto& [id, held] : image.held()) {
     auto taken = held.now;
     taken.attempts = std::max(taken.attempts, 1);
-    taken.ran = true, taken.ran_at = std::min(taken.ran_at, image.last_at()) - kLongAgo;
+    taken.ran = true, taken.ran_at = std::min(taken.ran_at, image.last_at()) - kBeyondKeyWindows;
     records.push_back({image.last_at(), std::move(taken)});
   }
   return records;
 }
 
+// Writes all readable records to a new journal; `apply` puts it in the place of the damaged one, which is
+// kept.
 int repair(const std::string& folder, bool apply) {
   const std::string mended = folder + ".mended", damaged = folder + ".damaged";
-  for (const auto& taken : {mended, damaged})
-    if (std::filesystem::exists(taken)) {
-      std::fprintf(stderr, "journal: %s is there already, from another repair\n", taken.c_str());
+  for (const auto& path : {mended, damaged})
+    if (std::filesystem::exists(path)) {
+      std::fprintf(stderr, "journal: %s already exists, left by an earlier repair\n", path.c_str());
       return Exit::bad_input;
     }
-  const auto files = open_or_say(folder);
+  const auto files = open_or_report(folder);
   if (!files) return Exit::bad_input;
   if (const auto r = read_all(*files, false, false, 0); !r.log.problem && r.bad.empty()) {
     std::printf("whole; nothing to mend\n");
@@ -122,38 +129,38 @@
     problem = opened.problem->text;
   journal::Image image;
   const auto append = [&](std::string_view bytes) {
-    if (log.append(bytes) != store::Log::Appended::yes) problem = "a record can't be written again";
+    if (log.append(bytes) != store::Log::Appended::yes) problem = "a record could not be rewritten";
     if (log.pending() > settings.segment / 2)
       if (const auto e = log.commit()) problem = e.message();
   };
-  std::uint64_t not_understood = 0, n = 0;
+  std::uint64_t not_decoded = 0, n = 0;
   const auto salvaged = store::salvage(*files, [&](store::Sequence, std::string_view bytes) {
     journal::Record record;
     if (!journal::decode(bytes, record).empty()) {
-      not_understood++;
+      not_decoded++;
       return;
     }
     image.apply(++n, record);
     append(bytes);
   });
   if (salvaged.problem) problem = salvaged.problem->text;
-  const auto doubts = doubts_of(image);
-  for (const auto& r : doubts) append(journal::encode(r));
+  const auto possible_runs = records_of_possible_runs(image);
+  for (const auto& r : possible_runs) append(journal::encode(r));
   if (problem.empty())
     if (const auto e = log.commit()) problem = e.message();
   if (!problem.empty()) {
-    std::fprintf(stderr, "journal: not mended: %s\n", problem.c_str());
+    std::fprintf(stderr, "journal: repair failed: %s\n", problem.c_str());
     std::filesystem::remove_all(mended);
     return Exit::failed;
   }
   std::printf("%llu records read, %zu gaps, %llu records not understood\n",
               static_cast<unsigned long long>(salvaged.records), salvaged.lost.size(),
-              static_cast<unsigned long long>(not_understood));
+              static_cast<unsigned long long>(not_decoded));
   for (const auto& [from, until] : salvaged.lost)
     std::printf("  lost: records %llu to %llu\n", static_cast<unsigned long long>(from),
                 static_cast<unsigned long long>(until));
   std::printf("%zu messages held, each taken for one that may have run; safe ones may be delivered again\n",
-              doubts.size());
+              possible_runs.size());
   if (!apply) {
     std::filesystem::remove_all(mended);
     std::printf("nothing was changed; --apply puts it in place\n");
@@ -179,17 +186,17 @@
   };
   add("inspect", "what is in it, in numbers, and what a start would find")->callback([folder, &run] {
     run = [folder] {
-      const auto files = open_or_say(*folder);
+      const auto files = open_or_report(*folder);
       if (!files) return static_cast<int>(Exit::bad_input);
       const auto r = read_all(*files, false, false, 0);
-      tell(r);
-      return verdict(r);
+      print_summary(r);
+      return print_verdict(r);
     };
   });
   add("verify", "read every record; exit code 1 where one is damaged")->callback([folder, &run] {
     run = [folder] {
-      const auto files = open_or_say(*folder);
-      return files ? verdict(read_all(*files, false, false, 0)) : static_cast<int>(Exit::bad_input);
+      const auto files = open_or_report(*folder);
+      return files ? print_verdict(read_all(*files, false, false, 0)) : static_cast<int>(Exit::bad_input);
     };
   });
   auto message = std::make_shared<MessageId>(0);
@@ -197,7 +204,7 @@
   auto* only = exported->add_option("--message", *message, "of one message alone: the number in its name");
   exported->callback([folder, message, only, &run] {
     run = [folder, message, only] {
-      const auto files = open_or_say(*folder);
+      const auto files = open_or_report(*folder);
       if (!files) return static_cast<int>(Exit::bad_input);
       const auto r = read_all(*files, true, only->count() > 0, *message);
       if (!r.log.problem && r.bad.empty()) return static_cast<int>(Exit::ok);
--- a/app/json_log.hpp
+++ b/app/json_log.hpp
@@ -1,4 +1,4 @@
-// One JSON object a line on standard error, through spdlog.
+// Structured log: one JSON object per line on standard error, written through spdlog.
 #pragma once
 
 #include <rapidjson/stringbuffer.h>
@@ -19,6 +19,7 @@
     logger_.set_pattern(R"({"time":"%Y-%m-%dT%H:%M:%S.%f%z","level":"%l","name":"%n",%v})");
     logger_.flush_on(spdlog::level::info);
   }
+  // Name and value of each field.
   using Fields = std::vector<std::pair<const char*, std::string>>;
   void line(const char* event, const Fields& fields, spdlog::level::level_enum level = spdlog::level::info) {
     rapidjson::StringBuffer buffer;
@@ -28,7 +29,7 @@
     for (const auto& [key, value] : fields)
       w.Key(key), w.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
     w.EndObject();
-    // The pattern writes the outer object.
+    // The pattern supplies the outer braces.
     logger_.log(level, std::string(buffer.GetString() + 1, buffer.GetSize() - 2));
   }
 
--- a/app/kills.cpp
+++ b/app/kills.cpp
@@ -1,3 +1,4 @@
+// `cedarplank kills`: kills a relay that keeps a journal again and again and checks the rules.
 #include "rig/kills.hpp"
 
 #include <cstdio>
--- a/app/lab.cpp
+++ b/app/lab.cpp
@@ -1,3 +1,4 @@
+// `cedarplank lab`: experiments in virtual time or on sockets.
 #include <fmt/format.h>
 
 #include <cstdio>
@@ -13,7 +14,7 @@
 namespace cedarplank::app {
 namespace {
 
-// "1-20" or "1,5,9".
+// Seeds and ranges of seeds, separated by commas: "1-20" or "1,5,9".
 std::vector<std::uint64_t> parse_seeds(const std::string& text) {
   std::vector<std::uint64_t> seeds;
   std::size_t at = 0;
@@ -31,7 +32,7 @@
     }
     at = comma + 1;
   }
-  if (seeds.empty()) throw std::runtime_error("--seeds: none is named");
+  if (seeds.empty()) throw std::runtime_error("--seeds: the list is empty");
   return seeds;
 }
 
@@ -43,6 +44,7 @@
   throw std::runtime_error("--policies: '" + name + "' is none of " + all);
 }
 
+// Runs a day with relays as processes on real sockets.
 lab::Cell on_sockets(const rig::Scenario& scenario) {
   rig::DrillOptions options;
   options.quiet = true;
@@ -54,13 +56,14 @@
   f.calls = r.calls, f.refused_calls = r.refused_calls;
   f.virtual_s = f.real_s = r.took_s;
   auto cell = lab::cell_of(f);
-  for (const char* unseen : {"held_most", "connections"})
-    cell.values.erase(unseen);  // kept by the relays alone
+  for (const char* unobserved : {"held_most", "connections"})
+    cell.values.erase(unobserved);  // known only inside the relays
   return cell;
 }
 
 lab::Experiment load(const std::string& file) { return lab::from_json(file, config::read_file(file)); }
 
+// Runs the plan, prints its table and writes the record and the charts; returns the exit code.
 int run_experiment(const lab::Plan& plan, const std::string& out, const std::string& charts,
                    const std::string& name, bool quiet) {
   auto e = lab::run_plan(plan, [&](std::size_t done, std::size_t all) {
@@ -125,7 +128,7 @@
       lab::Plan plan;
       plan.day = o->day, plan.seeds = parse_seeds(o->seeds), plan.judge = !o->no_judge;
       plan.stories = o->stories;
-      plan.jobs = o->where == "sockets" ? 1 : o->jobs;  // on sockets runs would disturb each other
+      plan.jobs = o->where == "sockets" ? 1 : o->jobs;  // concurrent runs on sockets would disturb each other
       for (const auto& p : o->policies) plan.policies.push_back(parse_policy(p));
       if (o->where == "sockets") {
         if (plan.policies != std::vector{lab::Policy::ours})
--- a/app/main.cpp
+++ b/app/main.cpp
@@ -1,3 +1,4 @@
+// The cedarplank program: parses the command line and runs the chosen sub-command.
 #include <signal.h>
 
 #include <cstdio>
--- a/app/platform.cpp
+++ b/app/platform.cpp
@@ -1,5 +1,5 @@
-// `cedarplank platform`: the relay as the users' platform starts it. Signals and log lines around
-// platform::Relay; it holds no logic of its own.
+// `cedarplank platform`: the relay as the platform starts it. Adds signal handling and logging to
+// platform::Relay, which holds all the logic.
 #include <signal.h>
 #include <time.h>
 #include <unistd.h>
@@ -13,49 +13,53 @@
 namespace cedarplank::app {
 namespace {
 
-constexpr loop::Time kCountsEvery = 5'000'000;
+constexpr loop::Time kCountsInterval = 5'000'000;  // microseconds between two log lines with the counters
 
-loop::Time unix_to_module() {
+// What to add to a Unix time to get the monotonic time of the loop, in microseconds.
+loop::Time unix_to_monotonic_offset() {
   timespec t{};
   clock_gettime(CLOCK_REALTIME, &t);
   return loop::monotonic_now() - (std::int64_t{t.tv_sec} * 1'000'000 + t.tv_nsec / 1'000);
 }
 
 int run_platform(const std::string& file) {
-  // Blocked before anything else: one that comes now is taken once there is someone to take it.
+  // Blocked before anything else: a signal that arrives during start-up stays pending until its handler is
+  // set.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM), sigaddset(&signals, SIGINT), sigaddset(&signals, SIGHUP);
   sigprocmask(SIG_BLOCK, &signals, nullptr);
-  platform::Config config = platform::load_config(file, unix_to_module());
+  platform::Config config = platform::load_config(file, unix_to_monotonic_offset());
   if (config.state.empty())
     if (const char* state = std::getenv("GW_STATE")) config.state = state;
   JsonLog log(config.name);
-  const auto say = [&](const char* event, const std::string& text) { log.line(event, {{"text", text}}); };
+  const auto log_event = [&](const char* event, const std::string& text) {
+    log.line(event, {{"text", text}});
+  };
   loop::Loop loop;
-  platform::Relay relay(loop, std::move(config), say);
+  platform::Relay relay(loop, std::move(config), log_event);
   const auto stop = [&] {
-    say("stopping", relay.counts());
+    log_event("stopping", relay.counts());
     relay.stop([&] { loop.stop(); });
   };
   loop.on_signal(SIGTERM, stop);
   loop.on_signal(SIGINT, stop);
   loop.on_signal(SIGHUP, [&] {
     try {
-      relay.reload(platform::load_config(file, unix_to_module()));
+      relay.reload(platform::load_config(file, unix_to_monotonic_offset()));
     } catch (const std::exception& bad) {
-      say("not_reloaded", bad.what());  // the old one stays in force
+      log_event("not_reloaded", bad.what());  // the previous configuration stays in force
     }
   });
   std::function<void()> counts = [&] {
-    say("counts", relay.counts());
-    loop.after(kCountsEvery, counts);
+    log_event("counts", relay.counts());
+    loop.after(kCountsInterval, counts);
   };
-  loop.after(kCountsEvery, counts);
+  loop.after(kCountsInterval, counts);
   sigprocmask(SIG_UNBLOCK, &signals, nullptr);
-  say("listening", relay.address().text() + ", pid " + std::to_string(getpid()));
+  log_event("listening", relay.address().text() + ", pid " + std::to_string(getpid()));
   loop.run();
-  say("stopped", relay.counts());
+  log_event("stopped", relay.counts());
   return Exit::ok;
 }
 
--- a/app/relay.cpp
+++ b/app/relay.cpp
@@ -1,4 +1,4 @@
-// `cedarplank relay`: flags, signals and log lines around cedarplank::delivery. It holds no logic of its own.
+// `cedarplank relay`: signal handling and logging around cedarplank::delivery, which holds all the logic.
 #include <signal.h>
 #include <unistd.h>
 
@@ -16,7 +16,8 @@
   if (settings.seed == 0) settings.seed = std::random_device{}() | 1ull;
   const Time drain_within = settings.drain_within;
   JsonLog log(settings.name);
-  // Signals are waited for here; blocked before the engine's threads start, so that none of them takes one.
+  // This thread waits for signals. They are blocked before the engine's threads start, which inherit the
+  // mask, so that no other thread receives one.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM), sigaddset(&signals, SIGINT);
@@ -32,9 +33,9 @@
   sigwait(&signals, &number);
   log.line("draining", {{"held", std::to_string(engine->snapshot(1).held_for_clients)}});
   engine->drain(drain_within);
-  const timespec look{0, 10'000'000};
+  const timespec poll_interval{0, 10'000'000};  // 10 ms
   while (engine->state() != delivery::State::stopped) {
-    if (sigtimedwait(&signals, nullptr, &look) < 0) continue;
+    if (sigtimedwait(&signals, nullptr, &poll_interval) < 0) continue;
     log.line("stopped", {{"how", "at once"}}, spdlog::level::warn);
     _exit(Exit::stopped_at_once);
   }
--- a/app/relay_command.cpp
+++ b/app/relay_command.cpp
@@ -1,3 +1,4 @@
+// The command line of `cedarplank relay`.
 #include "app/commands.hpp"
 #include "app/relay_main.hpp"
 
--- a/app/relay_main.hpp
+++ b/app/relay_main.hpp
@@ -1,4 +1,4 @@
-// What `cedarplank relay` does, also for test programs that put another decider in.
+// The main function of `cedarplank relay`, shared with test programs that replace the decider.
 #pragma once
 
 #include "node/node.hpp"
--- a/app/send.cpp
+++ b/app/send.cpp
@@ -1,3 +1,4 @@
+// `cedarplank send`: a load generator that sends messages to relays or endpoints and tabulates the answers.
 #include <cstdio>
 #include <fstream>
 #include <sstream>
@@ -33,11 +34,11 @@
   s.connections = o.connections, s.retries = o.retries, s.skew = o.skew;
   s.tenants = split(o.tenants, ','), s.tenant_field = o.tenant_field;
   s.destinations = split(o.destinations, ',');
-  if (s.destinations.empty()) throw std::invalid_argument("send: --destinations names none");
+  if (s.destinations.empty()) throw std::invalid_argument("send: --destinations is empty");
   for (const auto& one : split(o.mix, ',')) {
     const auto parts = split(one, ':');
     if (parts.size() < 4 || parts.size() > 5)
-      throw std::invalid_argument("send: --mix: '" + one + "' is no NAME:EFFECT:SHARE:DEADLINE_S[:ordered]");
+      throw std::invalid_argument("send: --mix: '" + one + "' is not NAME:EFFECT:SHARE:DEADLINE_S[:ordered]");
     rig::LoadClass c;
     c.name = parts[0];
     if (parts[1] != "safe" && parts[1] != "keyed" && parts[1] != "unsafe")
@@ -52,14 +53,14 @@
   if (!o.smpp.empty()) {
     const auto at = o.smpp.find(':');
     if (at == std::string::npos || at == 0)
-      throw std::invalid_argument("send: --smpp: no SYSTEM_ID:PASSWORD");
+      throw std::invalid_argument("send: --smpp: expected SYSTEM_ID:PASSWORD");
     system_id = o.smpp.substr(0, at), password = o.smpp.substr(at + 1);
   }
   for (const auto& address : o.to) targets.push_back({address, address, system_id, password});
   loop::Loop loop;
   std::uint64_t turn = 0;
   rig::LoadClient client(loop, s, targets, [&](const rig::LoadClient::Message& m, const std::vector<bool>&) {
-    // Straight to endpoints: each destination has its own, in the order of --to.
+    // Direct mode: destination i goes to address i of --to, modulo their number.
     if (o.direct) return std::pair(m.destination % targets.size(), std::string("/push"));
     return std::pair(static_cast<std::size_t>(turn++ % targets.size()),
                      "/push/" + s.destinations[m.destination] + "/" + s.classes[m.cls].name);
--- a/app/standin.cpp
+++ b/app/standin.cpp
@@ -1,3 +1,4 @@
+// `cedarplank standin`: serves emulated push gateways and message centres.
 #include <signal.h>
 
 #include <fstream>
--- a/app/trace.cpp
+++ b/app/trace.cpp
@@ -1,4 +1,4 @@
-// `cedarplank trace`: reads the stories that relays kept.
+// `cedarplank trace`: searches and prints the message traces that relays wrote.
 #include <cstdio>
 #include <deque>
 
@@ -9,7 +9,8 @@
 namespace cedarplank::app {
 namespace {
 
-struct Wanted {
+// The filters and options of the command line.
+struct Query {
   std::string message, destination, message_class, verdict;
   std::vector<std::string> files;
   std::size_t most = 20;
@@ -17,7 +18,7 @@
   bool account = false, json = false;
 };
 
-bool fits(const Wanted& w, const trace::Story& s) {
+bool selects(const Query& w, const trace::Story& s) {
   return (w.message.empty() || trace::is_named(s, w.message)) &&
          (w.destination.empty() || s.destination == w.destination) &&
          (w.message_class.empty() || s.message_class == w.message_class) &&
@@ -25,23 +26,24 @@
          s.over_at - s.taken >= w.slower_ms * 1000;
 }
 
-int run_trace(const Wanted& w) {
-  std::deque<trace::Story> found;  // the last ones: memory stays bounded, however long the files
+int run_trace(const Query& w) {
+  std::deque<trace::Story>
+      found;  // only the last ones, so that memory stays bounded however long the files are
   std::size_t matches = 0;
   trace::Account account;
   const auto read = trace::read_stories(w.files, [&](trace::Story&& s) {
-    if (!fits(w, s)) return;
+    if (!selects(w, s)) return;
     matches++;
     if (w.account) return account.add(s);
     found.push_back(std::move(s));
     if (found.size() > w.most) found.pop_front();
   });
-  if (read.torn > 0) std::fprintf(stderr, "trace: %zu unfinished last lines passed over\n", read.torn);
+  if (read.torn > 0) std::fprintf(stderr, "trace: skipped %zu unfinished last lines\n", read.torn);
   if (matches == 0) {
     std::fprintf(
         stderr,
-        "trace: none of %zu stories fits; of messages that went as they should only a sample is kept, "
-        "and a story is written once its message is over\n",
+        "trace: none of the %zu stories matches; of messages without trouble only a sample is kept, and a "
+        "story is written once its message has ended\n",
         read.stories);
     return Exit::failed;
   }
@@ -53,7 +55,8 @@
   trace::sort_by_time(stories);
   for (const auto& s : stories) std::puts((w.json ? trace::to_json(s) : trace::tell(s)).c_str());
   if (matches > stories.size())
-    std::fprintf(stderr, "trace: the last %zu of %zu that fit; --most shows more\n", stories.size(), matches);
+    std::fprintf(stderr, "trace: showing the last %zu of %zu matching stories; --most shows more\n",
+                 stories.size(), matches);
   return Exit::ok;
 }
 
@@ -61,7 +64,7 @@
 
 void add_trace(CLI::App& app, Run& run) {
   auto* command = app.add_subcommand("trace", "tell the stories of messages that relays kept");
-  auto w = std::make_shared<Wanted>();
+  auto w = std::make_shared<Query>();
   command->add_option("message", w->message,
                       "the relay's name of a message, or the client's Idempotency-Key; all if missing");
   command->add_option("--file", w->files, "files of stories, of one or more relays, rotated ones included")
