--- a/bench/delivery_bench.cpp
+++ b/bench/delivery_bench.cpp
@@ -1,5 +1,6 @@
-// Hand-over between threads: submissions a second by 1 to 64 threads through the lock-free queue and through
-// a mutex and a deque, with coalesced wake-ups; and the bytes of a held message.
+// Hand-over of messages between threads: submissions per second by 1 to 64 threads through the lock-free
+// queue and through a deque with a mutex, with coalesced wake-ups; latencies through the engine; and the
+// memory of a held message.
 #include <benchmark/benchmark.h>
 #include <concurrentqueue/concurrentqueue.h>
 #include <malloc.h>
@@ -55,7 +56,7 @@
 void hand_over(benchmark::State& state) {
   constexpr int kEach = 4'000;
   const int threads = static_cast<int>(state.range(0));
-  std::uint64_t wakes = 0;
+  std::uint64_t wakeups = 0;
   for (auto _ : state) {
     Queue queue;
     loop::Loop loop;
@@ -63,7 +64,7 @@
     int got = 0;
     std::function<void()> drain = [&] {
       woken = false;
-      wakes++;
+      wakeups++;
       Item batch[64];
       for (std::size_t n; (n = queue.take(batch, 64)) > 0;) got += static_cast<int>(n);
       if (got == threads * kEach) loop.stop();
@@ -81,7 +82,7 @@
   }
   state.SetItemsProcessed(state.iterations() * threads * kEach);
   state.counters["per_wake"] =
-      static_cast<double>(state.iterations()) * threads * kEach / static_cast<double>(wakes);
+      static_cast<double>(state.iterations()) * threads * kEach / static_cast<double>(wakeups);
 }
 BENCHMARK(hand_over<LockFree>)
     ->Arg(1)
@@ -92,7 +93,7 @@
     ->Unit(benchmark::kMillisecond);
 BENCHMARK(hand_over<Locked>)->Arg(1)->Arg(4)->Arg(16)->Arg(64)->UseRealTime()->Unit(benchmark::kMillisecond);
 
-// From post() on another thread until the loop runs it, there and back.
+// Round trip of post(): to the loop of another thread and back.
 void wake_up(benchmark::State& state) {
   loop::Loop there, back;
   std::thread t([&] { there.run(); });
@@ -105,8 +106,8 @@
 }
 BENCHMARK(wake_up)->UseRealTime();
 
-// From submit() to the callback of a message that is answered without a call (it names no destination): the
-// hand-over both ways, with threads of the engine's own and on the host's.
+// From submit() to the callback of a message that is answered without a call, because its destination is
+// unknown: the hand-over in both directions, with the engine on threads of its own and on the host's thread.
 void answer(benchmark::State& state) {
   const auto folder = std::filesystem::temp_directory_path() / "cedarplank-bench";
   std::filesystem::create_directories(folder);
@@ -124,16 +125,16 @@
     m.destination = "none", m.message_class = "c";
     if (engine->submit(std::move(m), [&](const delivery::Answer&) { done = true; }).status !=
         delivery::Submitted::taken)
-      return state.SkipWithError("not taken");
+      return state.SkipWithError("not accepted");
     while (!done)
       if (host) engine->run_once(-1);
   }
 }
 BENCHMARK(answer)->ArgName("host")->Arg(0)->Arg(1)->UseRealTime();
 
-// A message's whole way to a stand-in that answers at once, one at a time: the node called directly on its
-// own loop, the engine with threads of its own, and the engine on the host's thread. The difference is what
-// the library adds.
+// Round trip of one message at a time to a stand-in that answers immediately: with the node called directly
+// on its own loop, the engine on threads of its own, and the engine on the host's thread. The difference is
+// the overhead of the library.
 struct Gateway {
   loop::Loop loop;
   std::unique_ptr<standin::Destination> destination;
@@ -158,7 +159,7 @@
       "deadline: 30s}]\nkinds: [{name: k}]\n"
       "dispatcher: {slots: 100, open_max: 1000, tick: 0s}\n";
 };
-struct Last final : relay::Answers {
+struct LastAnswer final : relay::Answers {
   bool done = false, good = false;
   void served(MessageId, const relay::Ending&) override { done = good = true; }
   void refused(MessageId, Time, const relay::Account&) override { done = true, good = false; }
@@ -172,7 +173,7 @@
       [](const char*, const std::string&) {}, relay::make_dispatcher, false);
   while (!node.destination("d")) loop.run_once(1'000);
   for (auto _ : state) {
-    Last last;
+    LastAnswer last;
     relay::NewMessage m;
     m.destination = *node.destination("d"), m.time_left = 30'000'000;
     node.take(std::move(m), last, [](MessageId) {});
@@ -200,12 +201,13 @@
 }
 BENCHMARK(round_trip_engine)->ArgName("host")->Arg(0)->Arg(1)->UseRealTime();
 
-struct Nothing final : relay::Transport,
-                       relay::Answers,
-                       relay::ListSource,
-                       relay::Notes,
-                       relay::Log,
-                       relay::Decider {
+// Does nothing in every role that the core needs.
+struct NullPorts final : relay::Transport,
+                         relay::Answers,
+                         relay::ListSource,
+                         relay::Notes,
+                         relay::Log,
+                         relay::Decider {
   void send(const relay::CallOrder&) override {}
   Recalled cancel(relay::CallId) override { return Recalled::sent; }
   bool take_back(relay::CallId) override { return false; }
@@ -221,12 +223,13 @@
   void line(const std::string&) override {}
   void handle(Time, const std::vector<Event>&, std::vector<Action>&) override {}
 };
-// Core and module together, with a body of 256 bytes and a destination that takes nothing.
+// Bytes per held message in the core and the dispatcher together, for a body of 256 bytes and a destination
+// that accepts nothing.
 void held_bytes(benchmark::State& state) {
   const auto n = static_cast<std::size_t>(state.range(0));
   double bytes = 0;
   for (auto _ : state) {
-    Nothing ports;
+    NullPorts ports;
     Settings s;
     s.classes = {{.aim = 1'000'000, .deadline = 3'600'000'000}};
     s.kinds = {{}};
--- a/bench/http2_bench.cpp
+++ b/bench/http2_bench.cpp
@@ -1,4 +1,4 @@
-// HPACK and frame decoding against libnghttp2, on the same bytes in one run.
+// HPACK coding and frame decoding compared with libnghttp2 on the same bytes in one run.
 #include <benchmark/benchmark.h>
 #include <nghttp2/nghttp2.h>
 
@@ -43,7 +43,7 @@
     nghttp2_hd_inflater* inflater;
     nghttp2_hd_inflate_new(&inflater);
     for (const auto& block : all) {
-      Headers out;  // kept as strings, as ours are
+      Headers out;  // stored as strings, as HpackDecoder does
       auto* at = reinterpret_cast<const std::uint8_t*>(block.data());
       std::size_t left = block.size();
       for (;;) {
@@ -101,7 +101,7 @@
 BENCHMARK(encode_ours);
 BENCHMARK(encode_nghttp2);
 
-// What a client sends for 1,000 pushes with bodies: all of it through a server's frame layer.
+// What a client sends for 1,000 pushes with bodies, as input for the frame layer of a server.
 std::string client_bytes() {
   std::string bytes(kPreface);
   put_settings({}, bytes);
--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -1,5 +1,5 @@
-// How long a start takes by what the journal holds, and what the keeper's own work costs a message: without
-// disk, transport or module.
+// The time of a start against the number of messages in the journal, and the cost per message of the journal
+// coordinator itself, without disk, transport or dispatcher.
 #include <benchmark/benchmark.h>
 #include <stdlib.h>
 
@@ -25,7 +25,7 @@
   ~Folder() { std::filesystem::remove_all(path); }
 };
 
-// A journal of so many messages, a tenth of them with an attempt out, all of them held.
+// Start with a journal of n held messages; a tenth of them have an unfinished attempt.
 void start(benchmark::State& state) {
   Folder folder;
   const auto n = static_cast<MessageId>(state.range(0));
@@ -72,7 +72,8 @@
 }
 BENCHMARK(start)->RangeMultiplier(10)->Range(1'000, 1'000'000)->Unit(benchmark::kMillisecond);
 
-class Nowhere final : public relay::Transport, public relay::Answers {
+// Discards calls and answers.
+class NullTransport final : public relay::Transport, public relay::Answers {
   void send(const relay::CallOrder&) override {}
   Recalled cancel(relay::CallId) override { return Recalled::sent; }
   bool take_back(relay::CallId) override { return false; }
@@ -84,8 +85,9 @@
   void failed(MessageId, const relay::Account&) override {}
 };
 
+// The records of a message's whole lifetime: accepted, sent, ended, answered.
 void keep(benchmark::State& state) {
-  Nowhere nowhere;
+  NullTransport null_transport;
   Sequence next = 1;
   std::uint64_t bytes = 0;
   KeeperSettings settings;
@@ -93,8 +95,8 @@
   settings.classes[0].effect = Effect::unsafe, settings.class_names = {"pay"};
   settings.answers_max = 10'000;
   Keeper keeper(settings, {},
-                {.transport = nowhere,
-                 .answers = nowhere,
+                {.transport = null_transport,
+                 .answers = null_transport,
                  .destination = [](DestinationId) { return std::string("bank"); },
                  .append = [&](std::string r) { return bytes += r.size(), next++; },
                  .release = [](Sequence) {},
--- a/bench/loop_bench.cpp
+++ b/bench/loop_bench.cpp
@@ -1,4 +1,5 @@
-// Cost of a timer in both structures, and of an event, as timers and descriptors grow tenfold.
+// The cost of a timer in both timer structures, and of a descriptor event, as the numbers of timers and of
+// descriptors grow.
 #include <benchmark/benchmark.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -10,7 +11,7 @@
 namespace cedarplank::loop {
 namespace {
 
-// A relay's use: each call sets a time-out that nearly always is cancelled before it fires.
+// The pattern of a relay: each call sets a time-out that is nearly always cancelled before it fires.
 template <class Timers>
 void set_and_cancel(benchmark::State& state) {
   Timers timers;
@@ -29,7 +30,7 @@
     while (timers.pop_due(now, callback)) callback();
   }
 }
-// All of them fire.
+// All timers fire.
 template <class Timers>
 void set_and_fire(benchmark::State& state) {
   std::mt19937_64 random(1);
@@ -50,12 +51,13 @@
 BENCHMARK(set_and_fire<TimerHeap>)->RangeMultiplier(10)->Range(1'000, 100'000);
 BENCHMARK(set_and_fire<TimerWheel>)->RangeMultiplier(10)->Range(1'000, 100'000);
 
-// One turn of the loop with one event (range 1: or a tenth of all ready) among so many descriptors.
+// One iteration of the loop over n descriptors, of which one is ready, or a tenth if the second argument
+// is 1.
 void event_among(benchmark::State& state) {
-  rlimit most{};
-  getrlimit(RLIMIT_NOFILE, &most);
-  most.rlim_cur = most.rlim_max;
-  setrlimit(RLIMIT_NOFILE, &most);
+  rlimit descriptors{};
+  getrlimit(RLIMIT_NOFILE, &descriptors);
+  descriptors.rlim_cur = descriptors.rlim_max;
+  setrlimit(RLIMIT_NOFILE, &descriptors);
   const auto n = static_cast<std::size_t>(state.range(0));
   const std::size_t ready = state.range(1) != 0 ? std::max<std::size_t>(1, n / 10) : 1;
   Loop loop;
--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -1,5 +1,6 @@
-// The cost of a round of the module against messages held, endpoints and relays: held messages wait for
-// destinations that let few through, and each round brings an arrival and an answer, as under load.
+// The cost of a dispatcher round against the numbers of held messages, endpoints and relays. Held messages
+// wait for destinations that accept few at a time; each round brings one arrival and one answer, as under
+// load.
 #include <benchmark/benchmark.h>
 
 #include <deque>
@@ -67,7 +68,7 @@
       if (const auto* s = std::get_if<action::Send>(&a))
         out.push_back({s->id, s->endpoint, attempts[s->id]++, now});
   }
-  // One is served after 100 ms, one comes: what is held stays the same.
+  // One message is served after 100 ms and a new one arrives, so that the number held stays constant.
   void turn() {
     if (!out.empty() && now - out.front().sent >= 100'000) {
       const Out o = out.front();
--- a/bench/smpp_bench.cpp
+++ b/bench/smpp_bench.cpp
@@ -1,5 +1,5 @@
-// SMPP: encoding and decoding of PDUs, and bytes allocated for each; a submit through a whole session beside
-// a push through a whole HTTP/2 connection, in one run.
+// SMPP: encoding and decoding of PDUs with the bytes allocated for each; and submits through a whole session
+// compared with pushes through a whole HTTP/2 connection in one run.
 #include <benchmark/benchmark.h>
 
 #include <cstdlib>
@@ -71,7 +71,7 @@
       static_cast<double>(allocations - many) / static_cast<double>(state.iterations());
 }
 
-// 50 out, 50 answered.
+// Per iteration: 50 requests, then their 50 responses.
 void submits_over_a_session(benchmark::State& state) {
   Session esme(Role::esme, {}, 0), smsc(Role::smsc, {}, 0);
   std::vector<Event> events;
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -1,5 +1,5 @@
-// The journal's log against stores that could hold it: the same records, the same commits, each made durable,
-// in one run. And how long it takes to read a log at a start.
+// The journal's log compared with stores that could replace it, in one run: the same records and the same
+// commits, each made durable. Also the time to read a log at a start.
 #include <benchmark/benchmark.h>
 #include <lmdb.h>
 #include <rocksdb/db.h>
@@ -18,12 +18,12 @@
 
 const std::string kRecord(300, 'r');
 
-struct Place {
+struct TemporaryFolder {
   std::string path = (std::filesystem::temp_directory_path() / "cedarplank-bench-XXXXXX").string();
-  Place() { path = mkdtemp(path.data()); }
-  ~Place() { std::filesystem::remove_all(path); }
+  TemporaryFolder() { path = mkdtemp(path.data()); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
 };
-void need(bool ok, const char* what) {
+void require(bool ok, const char* what) {
   if (!ok) throw std::runtime_error(what);
 }
 std::string key_of(std::uint64_t n) {
@@ -35,12 +35,12 @@
 class Ours {
  public:
   explicit Ours(const std::string& path) : files_(open_folder(path + "/log")), log_(*files_, {}, 42) {
-    need(!log_.open([](Sequence, std::string_view) {}).problem, "log");
+    require(!log_.open([](Sequence, std::string_view) {}).problem, "log");
   }
   void commit(int records) {
-    for (int i = 0; i < records; i++) need(log_.append(kRecord) == Log::Appended::yes, "append");
-    need(!log_.commit(), "commit");
-    need(!log_.release(log_.durable() > 10'000 ? log_.durable() - 10'000 : 0), "release");
+    for (int i = 0; i < records; i++) require(log_.append(kRecord) == Log::Appended::yes, "append");
+    require(!log_.commit(), "commit");
+    require(!log_.release(log_.durable() > 10'000 ? log_.durable() - 10'000 : 0), "release");
   }
 
  private:
@@ -51,26 +51,26 @@
 class Lmdb {
  public:
   explicit Lmdb(const std::string& path) {
-    need(mdb_env_create(&env_) == 0 && mdb_env_set_mapsize(env_, std::size_t{1} << 32) == 0 &&
-             mdb_env_open(env_, path.c_str(), 0, 0600) == 0,
-         "lmdb");
+    require(mdb_env_create(&env_) == 0 && mdb_env_set_mapsize(env_, std::size_t{1} << 32) == 0 &&
+                mdb_env_open(env_, path.c_str(), 0, 0600) == 0,
+            "lmdb");
   }
   ~Lmdb() { mdb_env_close(env_); }
   void commit(int records) {
     MDB_txn* txn = nullptr;
     MDB_dbi dbi = 0;
-    need(mdb_txn_begin(env_, nullptr, 0, &txn) == 0 && mdb_dbi_open(txn, nullptr, 0, &dbi) == 0,
-         "lmdb begin");
+    require(mdb_txn_begin(env_, nullptr, 0, &txn) == 0 && mdb_dbi_open(txn, nullptr, 0, &dbi) == 0,
+            "lmdb begin");
     for (int i = 0; i < records; i++) {
       auto key = key_of(next_++), value = kRecord;
       MDB_val k{key.size(), key.data()}, v{value.size(), value.data()};
-      need(mdb_put(txn, dbi, &k, &v, MDB_APPEND) == 0, "lmdb put");
+      require(mdb_put(txn, dbi, &k, &v, MDB_APPEND) == 0, "lmdb put");
       if (next_ <= 10'000) continue;
       auto old = key_of(next_ - 10'000);
       MDB_val o{old.size(), old.data()};
       mdb_del(txn, dbi, &o, nullptr);
     }
-    need(mdb_txn_commit(txn) == 0, "lmdb commit");
+    require(mdb_txn_commit(txn) == 0, "lmdb commit");
   }
 
  private:
@@ -81,7 +81,7 @@
 class Sqlite {
  public:
   explicit Sqlite(const std::string& path) {
-    need(sqlite3_open((path + "/db").c_str(), &db_) == SQLITE_OK, "sqlite");
+    require(sqlite3_open((path + "/db").c_str(), &db_) == SQLITE_OK, "sqlite");
     run("PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL; CREATE TABLE log (n INTEGER PRIMARY KEY, b BLOB)");
     sqlite3_prepare_v2(db_, "INSERT INTO log (b) VALUES (?)", -1, &insert_, nullptr);
     sqlite3_prepare_v2(db_, "DELETE FROM log WHERE n < ?", -1, &remove_, nullptr);
@@ -94,7 +94,7 @@
     run("BEGIN");
     for (int i = 0; i < records; i++) {
       sqlite3_bind_blob(insert_, 1, kRecord.data(), static_cast<int>(kRecord.size()), SQLITE_STATIC);
-      need(sqlite3_step(insert_) == SQLITE_DONE, "sqlite insert");
+      require(sqlite3_step(insert_) == SQLITE_DONE, "sqlite insert");
       sqlite3_reset(insert_);
     }
     sqlite3_bind_int64(remove_, 1, sqlite3_last_insert_rowid(db_) - 10'000);
@@ -103,7 +103,7 @@
   }
 
  private:
-  void run(const char* sql) { need(sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) == SQLITE_OK, sql); }
+  void run(const char* sql) { require(sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) == SQLITE_OK, sql); }
   sqlite3* db_ = nullptr;
   sqlite3_stmt *insert_ = nullptr, *remove_ = nullptr;
 };
@@ -114,7 +114,7 @@
     rocksdb::Options o;
     o.create_if_missing = true;
     rocksdb::DB* db = nullptr;
-    need(rocksdb::DB::Open(o, path + "/db", &db).ok(), "rocksdb");
+    require(rocksdb::DB::Open(o, path + "/db", &db).ok(), "rocksdb");
     db_.reset(db);
   }
   void commit(int records) {
@@ -123,7 +123,7 @@
     if (next_ > 10'000) batch.DeleteRange(key_of(0), key_of(next_ - 10'000));
     rocksdb::WriteOptions w;
     w.sync = true;
-    need(db_->Write(w, &batch).ok(), "rocksdb write");
+    require(db_->Write(w, &batch).ok(), "rocksdb write");
   }
 
  private:
@@ -133,33 +133,33 @@
 
 template <class Store>
 void commits(benchmark::State& state) {
-  Place place;
-  Store store(place.path);
+  TemporaryFolder folder;
+  Store store(folder.path);
   const int records = static_cast<int>(state.range(0));
   for (auto _ : state) store.commit(records);
   state.SetItemsProcessed(state.iterations() * records);
 }
 
 void reading(benchmark::State& state) {
-  Place place;
+  TemporaryFolder folder;
   LogSettings s;
   s.segments_max = 1000;
   {
-    const auto files = open_folder(place.path + "/log");
+    const auto files = open_folder(folder.path + "/log");
     Log log(*files, s, 42);
     log.open([](Sequence, std::string_view) {});
     for (int i = 0; i < state.range(0); i++) {
-      need(log.append(kRecord) == Log::Appended::yes, "append");
-      if (i % 10'000 == 9'999) need(!log.commit(), "commit");
+      require(log.append(kRecord) == Log::Appended::yes, "append");
+      if (i % 10'000 == 9'999) require(!log.commit(), "commit");
     }
-    need(!log.commit(), "commit");
+    require(!log.commit(), "commit");
   }
   for (auto _ : state) {
-    const auto files = open_folder(place.path + "/log");
+    const auto files = open_folder(folder.path + "/log");
     Log log(*files, s, 1);
     std::size_t n = 0;
     log.open([&](Sequence, std::string_view) { n++; });
-    need(n == static_cast<std::size_t>(state.range(0)), "all of them");
+    require(n == static_cast<std::size_t>(state.range(0)), "all of them");
   }
   state.SetItemsProcessed(state.iterations() * state.range(0));
 }
--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -1,5 +1,5 @@
-// What stories cost: recording a message that is served at once, by stories already open, while memory is
-// ample and while it is short; writing one as a line.
+// The cost of message traces: recording a message that is served immediately, against the number of open
+// traces, with ample and with scarce memory; and writing a trace as a line of JSON.
 #include <benchmark/benchmark.h>
 
 #include "trace/json.hpp"
--- a/fuzz/hpack_fuzz.cpp
+++ b/fuzz/hpack_fuzz.cpp
@@ -1,4 +1,5 @@
-// HPACK: any bytes decode or fail, within bounds; what decodes is the same after our encoder and decoder.
+// HPACK: any bytes either decode or fail, within the bounds of the dynamic table. Decoded header fields
+// survive a round trip through the encoder and the decoder, and any bytes one through the Huffman code.
 #include <cstdlib>
 
 #include "http2/hpack.hpp"
@@ -9,7 +10,7 @@
   HpackEncoder encoder;
   HpackDecoder again;
   std::string_view rest(reinterpret_cast<const char*>(data), size);
-  // Blocks after one another, split where the input says.
+  // Consecutive header blocks; each has its length in the byte before it.
   while (!rest.empty()) {
     const std::size_t n = std::min<std::size_t>(rest.size() - 1, static_cast<unsigned char>(rest[0]));
     const auto block = rest.substr(1, n);
@@ -26,9 +27,9 @@
   }
   std::string plain;
   huffman_decode({reinterpret_cast<const char*>(data), size}, plain);
-  std::string coded, round;
+  std::string coded, decoded;
   huffman_encode({reinterpret_cast<const char*>(data), size}, coded);
-  if (!huffman_decode(coded, round) || round != std::string(reinterpret_cast<const char*>(data), size))
+  if (!huffman_decode(coded, decoded) || decoded != std::string(reinterpret_cast<const char*>(data), size))
     std::abort();
   return 0;
 }
--- a/fuzz/http1_fuzz.cpp
+++ b/fuzz/http1_fuzz.cpp
@@ -1,5 +1,5 @@
-// HTTP/1.1, both sides: whatever the bytes, and however they are cut, what is read is the same, within its
-// bounds; and a request that the platform's front takes is one that it can pass on.
+// HTTP/1.1, requests and responses: any bytes give the same messages however they are split, within the
+// bounds. A request that the platform's HTTP server accepts can be passed on.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -12,6 +12,7 @@
 using namespace cedarplank;
 using http1::Reader;
 
+// Reads the bytes in pieces of the given size; returns a text of everything read and of the final state.
 std::string run(Reader::Side side, std::string_view bytes, std::size_t piece) {
   http1::Bounds bounds;
   bounds.head = 512, bounds.fields = 8, bounds.body = 256;
--- a/fuzz/http2_fuzz.cpp
+++ b/fuzz/http2_fuzz.cpp
@@ -1,4 +1,5 @@
-// Frames: any bytes from a peer, in any pieces, to a server and to a client with streams out.
+// HTTP/2 frames: any bytes from a peer, in pieces of any size, received by a server or by a client with open
+// streams. The same bytes go through the wire capture.
 #include <cstdlib>
 
 #include "http2/connection.hpp"
--- a/fuzz/journal_fuzz.cpp
+++ b/fuzz/journal_fuzz.cpp
@@ -1,5 +1,6 @@
-// The journal: bytes as records, folded in any order into an image, told as text and written again; and as a
-// segment of a log, read and salvaged. Nothing may crash, and what is read once must be read again the same.
+// The journal. The input is taken as records that are applied in any order to a state image, printed and
+// encoded again; and as a segment of a log that is inspected and salvaged. Nothing may crash, and a decoded
+// record must survive a round trip.
 #include <cstdlib>
 
 #include "journal/recovery.hpp"
@@ -9,6 +10,7 @@
 
 using namespace cedarplank;
 
+// A folder with a single, read-only segment.
 class OneFile final : public store::Files {
  public:
   explicit OneFile(std::string bytes) : bytes_(std::move(bytes)) {}
@@ -25,7 +27,7 @@
   std::error_code sync_folder() override { return refused(); }
 
  private:
-  static std::error_code refused() { std::abort(); }  // reading changes nothing
+  static std::error_code refused() { std::abort(); }  // reading must not write
   struct Handle final : store::File {
     explicit Handle(const std::string& b) : bytes(b) {}
     std::error_code write(std::uint64_t, std::string_view, std::size_t&) override { return refused(); }
@@ -45,7 +47,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   const std::string_view all(reinterpret_cast<const char*>(data), size);
-  // Records, each with its length before it.
+  // Records, each with its length in the byte before it.
   journal::Image image;
   journal::Sequence next = 1;
   for (std::string_view rest = all; rest.size() > 1;) {
--- a/fuzz/settings_fuzz.cpp
+++ b/fuzz/settings_fuzz.cpp
@@ -1,4 +1,4 @@
-// Settings and partner lists: any text is taken or refused with a ConfigError.
+// Settings and partner lists: any text is either accepted or rejected with a ConfigError.
 #include "config/partners.hpp"
 #include "config/relay_settings.hpp"
 
--- a/fuzz/smpp_fuzz.cpp
+++ b/fuzz/smpp_fuzz.cpp
@@ -1,5 +1,6 @@
-// SMPP: a stream of bytes is cut into PDUs, each read or refused; what is read is written again, and its text
-// taken apart. And the same bytes as a peer's, to either side of a session with requests of its own out.
+// SMPP: a byte stream is framed into PDUs, each decoded or rejected; a decoded PDU is encoded again, and its
+// text parsed and converted. The same bytes are also received by either side of a session that has requests
+// of its own outstanding.
 #include <cstdlib>
 #include <stdexcept>
 
@@ -9,6 +10,7 @@
 
 namespace {
 
+// Lets a session in the given role receive the bytes; whatever it sends must be valid SMPP.
 void session(cedarplank::smpp::Role role, std::string_view bytes) {
   using namespace cedarplank::smpp;
   Session s(role, {}, 0);
@@ -25,9 +27,9 @@
     if (s.can_request())
       s.request(now, role == Role::esme ? Command::submit_sm : Command::deliver_sm, Message{});
     if (s.outstanding() > s.settings().window || s.owed() > s.settings().peer_window) std::abort();
-    Framer own;  // whatever it says is SMPP
-    own.receive(s.take_output());
-    while (const auto pdu = own.next())
+    Framer output;  // must decode as SMPP
+    output.receive(s.take_output());
+    while (const auto pdu = output.next())
       if (!std::holds_alternative<Pdu>(decode(*pdu))) std::abort();
   }
   s.tick(kNever - 1, events);
@@ -43,8 +45,8 @@
   Framer framer;
   framer.receive(bytes);
   Assembly assembly(4);
-  while (const auto bytes = framer.next()) {
-    const auto read = decode(*bytes);
+  while (const auto pdu_bytes = framer.next()) {
+    const auto read = decode(*pdu_bytes);
     if (!std::holds_alternative<Pdu>(read)) continue;
     const Pdu& pdu = std::get<Pdu>(read);
     std::string out;
@@ -53,12 +55,12 @@
     const auto* message = std::get_if<Message>(&pdu.body);
     if (message == nullptr) continue;
     try {
-      const auto taken = taken_apart(*message);
+      const auto parsed = taken_apart(*message);
       for (const auto coding : {Coding::gsm7, Coding::latin1, Coding::ucs2}) {
-        const auto text = from_coding(taken.text, coding);
-        if (text && coding != Coding::gsm7 && to_coding(*text, coding) != taken.text) std::abort();
+        const auto text = from_coding(parsed.text, coding);
+        if (text && coding != Coding::gsm7 && to_coding(*text, coding) != parsed.text) std::abort();
       }
-      if (taken.part) assembly.add("x", *taken.part, taken.text);
+      if (parsed.part) assembly.add("x", *parsed.part, parsed.text);
     } catch (const std::invalid_argument&) {
     }
   }
--- a/fuzz/story_fuzz.cpp
+++ b/fuzz/story_fuzz.cpp
@@ -1,5 +1,5 @@
-// Stories as lines: any text is taken or refused with an error; what is taken can be told, and comes back as
-// it was.
+// Message traces as lines of JSON: any text is either accepted or rejected with an error. An accepted trace
+// can be printed and survives a round trip.
 #include <cstdlib>
 #include <stdexcept>
 
