--- a/examples/hosts/batch.cpp
+++ b/examples/hosts/batch.cpp
@@ -1,4 +1,4 @@
-// A short-lived batch job: submits 5,000 messages from a few threads, waits for all answers, exits.
+// A short-lived batch job: submits 5,000 messages from 4 threads, waits for all answers and exits.
 // Usage: batch SETTINGS DESTINATION CLASS [COUNT]
 #include <atomic>
 #include <cedarplank/delivery.hpp>
@@ -12,8 +12,8 @@
   const int count = argc > 4 ? std::atoi(argv[4]) : 5000, threads = 4;
   try {
     Options options;
-    options.held_max =
-        1'000;  // well below open_max: the module hands messages back when its buffer is nearly full
+    // Well below open_max: the dispatcher refuses messages when its buffer is nearly full.
+    options.held_max = 1'000;
     const auto engine = Engine::open(argv[1], std::move(options));
     std::atomic<int> served{0}, other{0};
     std::vector<std::thread> workers;
@@ -23,7 +23,7 @@
           Message m;
           m.destination = argv[2], m.message_class = argv[3];
           m.body = "id=b" + std::to_string(i) + ";", m.idempotency_key = m.body;
-          // Back-pressure: waits for room, at most half a minute.
+          // Back-pressure: waits until the engine can accept the message, for at most 30 s.
           const auto s = engine->submit_for(std::move(m), 30'000'000, [&](const Answer& a) {
             (a.final == Final::served ? served : other)++;
           });
--- a/examples/hosts/host.c
+++ b/examples/hosts/host.c
@@ -1,4 +1,4 @@
-/* A host in C: submits messages, waits on the descriptor with poll(2), and counts the answers.
+/* A host program in C: submits messages, waits for answers with poll(2) on the engine's descriptor, and counts them.
  * Usage: host SETTINGS DESTINATION CLASS COUNT */
 #include <cedarplank/delivery.h>
 #include <poll.h>
--- a/examples/hosts/own_loop.cpp
+++ b/examples/hosts/own_loop.cpp
@@ -1,4 +1,4 @@
-// A host with a poll(2) loop of its own: the engine runs on the host's thread, between the host's own work.
+// A host program with its own main loop: the engine runs on the host's thread, between the host's own work.
 // Usage: own_loop SETTINGS DESTINATION CLASS COUNT
 #include <cedarplank/delivery.hpp>
 #include <cstdio>
@@ -15,7 +15,7 @@
     int submitted = 0, served = 0, other = 0;
     long turns = 0;
     while (served + other < count) {
-      // The host's own work goes here; each turn also hands in what has room.
+      // The host's own work goes here. Each iteration also submits as many messages as the engine accepts.
       for (; submitted < count; submitted++) {
         Message m;
         m.destination = argv[2], m.message_class = argv[3];
--- a/scripts/build.sh
+++ b/scripts/build.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Sets a fresh machine up and builds the program: build/cedarplank.
+# Installs the required packages and builds the program as build/cedarplank.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/install-packages.sh
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Builds the fuzz targets with clang and runs each for a bounded time. Usage: scripts/fuzz.sh [SECONDS EACH]
+# Builds the fuzz targets with clang and runs each for a limited time. Usage: scripts/fuzz.sh [SECONDS EACH]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seconds=${1:-60}
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Installs the Debian packages of scripts/packages that are missing.
+# Installs those Debian packages listed in scripts/packages that are missing.
 set -euo pipefail
 missing=()
 while read -r package; do
--- a/scripts/measure-journal.sh
+++ b/scripts/measure-journal.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# What the journal costs on the whole path: one relay for each policy of its syncs and one without a journal,
-# by turns in one run, so that a noisy machine strikes all alike.
+# Measures the cost of the journal on the whole path of a message: one relay for each sync policy and one without
+# a journal, measured alternately in one run, so that load on the machine affects all of them alike.
 # Usage: scripts/measure-journal.sh [PROGRAM] [ROUNDS] [MESSAGES]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -24,7 +24,7 @@
 done
 mix=load-status:safe:0.6:6,pay-and-order:unsafe:0.3:16,notice:keyed:0.1:12
 ticks() { awk '{print $14 + $15}' "/proc/${relay[$1]}/stat"; }
-run() {  # policy load...
+run() {  # POLICY LOAD_OPTION...
   local p=$1 before; shift
   before=$(ticks "$p")
   "$program" send --to "${at[$p]}" --destinations "$(seq -s, -f "h-%g" 1 24)" --mix "$mix" --count "$count" \
--- a/scripts/measure-load.sh
+++ b/scripts/measure-load.sh
@@ -1,9 +1,11 @@
 #!/bin/bash
-# What relays do under a steady load: for each rate, the time that a message took, what of it the relays added
-# (by the stories that they keep), and the CPU they used, in hundredths of one core.
+# Measures relays under a steady load. For each rate: the latency of messages, the part of it that the relays added
+# (from the message traces that they write), and the CPU time of the relays in per cent of one core.
 # Usage: scripts/measure-load.sh [PROGRAM] [RELAYS] [SECONDS] [RATE...]
-# CONNECTIONS=N: of clients to each relay (2); NO_STORIES=1: none are kept; KEEP=FOLDER: the files stay there.
-# 24 endpoints, each of 64 calls at once and 1 ms; all on one machine, load and stand-ins included.
+# Environment: CONNECTIONS=N client connections to each relay (default 2); NO_STORIES=1 writes no message traces;
+# KEEP=FOLDER works in that folder and keeps its files.
+# There are 24 endpoints, each with 64 concurrent calls of 1 ms. Load generator, relays and stand-ins all run on
+# this machine.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 program=$PWD/${1:-build/cedarplank} relays=${2:-1} seconds=${3:-60}
--- a/scripts/measure-path.sh
+++ b/scripts/measure-path.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# What one relay adds: 10,000 mixed messages over one connection through it to 24 endpoints, against the same
-# straight to the endpoints over 24 connections; by turns, so that a noisy machine strikes both.
+# Measures the overhead of one relay: 10,000 mixed messages over one connection through the relay to 24 endpoints,
+# compared with the same messages directly to the endpoints over 24 connections. The two are measured alternately,
+# so that load on the machine affects both alike.
 # Usage: scripts/measure-path.sh [PROGRAM] [ROUNDS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/measure-smpp.sh
+++ b/scripts/measure-smpp.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# The SMPP path beside the HTTP/2 path: the same messages in by each front and out by each back, by turns in
-# one run, so that a noisy machine strikes all alike; with the relay's CPU for each message.
+# Compares the SMPP and HTTP/2 paths: the same messages submitted by each protocol and delivered by each protocol,
+# measured alternately in one run, so that load on the machine affects all alike; with the relay's CPU time per
+# message.
 # Usage: scripts/measure-smpp.sh [PROGRAM] [ROUNDS] [MESSAGES]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -18,7 +19,7 @@
 http=$(of listen) smpp=$(of smpp)
 mix=load-status:safe:0.6:6,pay-and-order:unsafe:0.3:16,notice:keyed:0.1:12
 ticks() { awk '{print $14 + $15}' "/proc/$relay/stat"; }
-run() {  # front back load...
+run() {  # FRONT BACK LOAD_OPTION...: protocol of the clients, protocol of the endpoints
   local front=$1 back=$2 before; shift 2
   local to=(--to "$http"); [ "$front" = smpp ] && to=(--to "$smpp" --smpp load:load-pw)
   local name=h; [ "$back" = smpp ] && name=s
--- a/scripts/measure-store.sh
+++ b/scripts/measure-store.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# The journal's log beside LMDB, SQLite and RocksDB, and reading it at a start. Usage: scripts/measure-store.sh
+# Compares the journal's log with LMDB, SQLite and RocksDB, and measures reading it at a start.
+# Usage: scripts/measure-store.sh
 set -euo pipefail
 cd "$(dirname "$0")/.."
 for package in liblmdb-dev libsqlite3-dev librocksdb-dev; do
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Plays a scenario over and over with new seeds, for a bounded time; stops at the first one that is not clean.
+# Runs a scenario repeatedly with new seeds for a limited time; stops at the first run that fails or breaks a rule.
 # Usage: scripts/soak.sh [MINUTES] [SCENARIO] [FIRST SEED]
 set -euo pipefail
 cd "$(dirname "$0")/.."
