--- a/tests/consumer_test.sh
+++ b/tests/consumer_test.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Usage: consumer_test.sh BUILD SOURCE WORK [FLAGS]: installs the build, then builds and runs the consumer.
+# Installs the build, then builds and runs a consumer project against it.
+# Usage: consumer_test.sh BUILD SOURCE WORK [FLAGS]
 set -e
 rm -rf "$3"
 cmake --install "$1" --prefix "$3/prefix" >/dev/null
@@ -8,7 +9,7 @@
 cmake --build "$3/build" >/dev/null
 "$3/build/consumer"
 test ! -x "$3/build/c_host" || { "$3/build/c_host" /nowhere d c 1 2>&1 || true; } | grep -q 'cannot be opened'
-# The same C host, built by hand with what pkg-config says.
+# The same C host, compiled with the flags from pkg-config.
 pc=$(find "$3/prefix" -name cedarplank-delivery.pc)
 test -z "$pc" && exit 0
 PKG_CONFIG_PATH=$(dirname "$pc"); export PKG_CONFIG_PATH
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -1,4 +1,4 @@
-// The lab: drawn days, the world in virtual time, records, comparisons and shrinking.
+// The simulation lab: random scenarios, simulations in virtual time, records, comparisons and minimization.
 #include <gtest/gtest.h>
 #include <yaml-cpp/yaml.h>
 
@@ -76,8 +76,9 @@
   }
 }
 
-// Drawn day 1000 at 300 relays: a slowed partner took a repeat within its key's time and ran it after that
-// time. A receiver knows a repeat when it arrives.
+// Guards against a duplicate effect (seen on drawn day 1000 with 300 relays): a slow partner received a
+// repeat within the key window, but ran it after the window had ended. A receiver must recognize a repeat
+// when it arrives.
 TEST(Partner, ARepeatIsKnownWhenItArrivesHoweverLateTheFirstRuns) {
   emulator::DestinationSettings d;
   d.name = "d", d.key_window = 1'000'000, d.endpoints = {{.id = "e"}};
@@ -91,10 +92,10 @@
   EXPECT_FALSE(repeat.runs);
   EXPECT_EQ(repeat.status, 201);
   EXPECT_GT(repeat.at, 5'000'000);
-  EXPECT_TRUE(call(1'000'000).runs);  // past the time it is no repeat any more
+  EXPECT_TRUE(call(1'000'000).runs);  // after the key window it no longer counts as a repeat
 }
 
-// Leaves holes of each size in the heap, which are filled again in an order of their own.
+// Leaves free blocks of many sizes in the heap, so that later allocations get addresses in a different order.
 void scramble_heap(unsigned seed) {
   std::vector<std::unique_ptr<char[]>> holes;
   static std::vector<std::unique_ptr<char[]>> walls;
@@ -105,8 +106,8 @@
   std::shuffle(holes.begin(), holes.end(), std::mt19937(seed));
 }
 
-// What an endpoint sends to all its connections at once went out in the order of their addresses in memory,
-// so that two runs of one day could differ.
+// Guards against results that depend on heap addresses: an endpoint that sent to all its connections at once
+// did so in the order of their addresses, so that two runs of one day could differ.
 TEST(World, EqualDaysGiveEqualFiguresToTheLastAnswer) {
   auto a = run(kHarvest, 4);
   scramble_heap(7);
@@ -119,7 +120,8 @@
     EXPECT_EQ(a.seconds[i].served_by_class, b.seconds[i].served_by_class);
 }
 
-// Drawn days at three sizes; the long form is 'cedarplank lab run' over a thousand seeds.
+// Drawn days with 3, 30 and 300 relays; 'cedarplank lab run' over a thousand seeds is the long form of this
+// test.
 TEST(World, OursKeepsTheRulesOnDrawnDays) {
   for (const char* relays : {"3", "30", "300"})
     for (std::uint64_t seed = 1; seed <= 8; seed++) {
@@ -129,7 +131,8 @@
     }
 }
 
-// The judge sees what it should: a policy without ramp, order or waits breaks those rules on the short day.
+// The rule checker detects violations: a policy that ignores ramps, order and told waits breaks those rules
+// on the short day.
 TEST(World, ABaselineThatKeepsNoWaitsNorOrderIsCaught) {
   const auto cell = run(kShortDay, 1, Policy::fixed);
   for (const char* rule : {"4 no push over", "5 order kept", "6 waits kept"})
@@ -139,7 +142,7 @@
 }
 
 TEST(Shrink, LeavesTheTroublesThatMatter) {
-  // Rule 6 alone can be broken here: nothing is ordered or comes back cold.
+  // Only rule 6 can be broken here: no messages are ordered and no partner comes back cold.
   const auto folder = std::filesystem::temp_directory_path() / "cedarplank-shrink-test";
   std::filesystem::create_directories(folder);
   std::filesystem::copy_file(std::string(EXAMPLES) + "/lab/relay.yaml", folder / "relay.yaml",
@@ -161,7 +164,7 @@
   EXPECT_EQ(s.broken[0].find("6 waits kept"), 0u);
   EXPECT_EQ(s.troubles_before, 5u);
   EXPECT_EQ(s.troubles_after, 1u);
-  // What is left is a day by itself that still breaks it.
+  // The minimized day can be run on its own and still breaks the rule.
   std::ofstream(day) << s.day;
   const auto again = rig::load_scenario(day);
   ASSERT_EQ(again.troubles.size(), 1u);
@@ -189,7 +192,7 @@
     } catch (const std::runtime_error& error) {
       EXPECT_NE(std::string(error.what()).find(fault), std::string::npos) << error.what();
     }
-  // The same runs differ by nothing but their speed.
+  // Equal runs differ only in speed.
   const auto same = compare(e, back);
   EXPECT_EQ(same.find("beyond noise"), std::string::npos) << same;
   auto better = back;
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Builds with warnings as errors and runs all tests, plainly and under sanitizers. Tests that KNOWN-RED.txt names
-# (test | cause | issue) run too and are printed; they alone may fail. One that passes has to come off the list.
+# Builds with warnings as errors and runs all tests, without and with sanitizers. Tests listed in KNOWN-RED.txt (test |
+# cause | issue) are run and reported separately; only they may fail, and one that passes must be removed from the list.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
