--- a/lab/draw.hpp
+++ b/lab/draw.hpp
@@ -23,6 +23,7 @@
 // the cause.
 std::string draw_day(const std::string& file, const std::string& text, std::uint64_t seed,
                      const std::vector<Override>& overrides = {});
+// Reads a day from a file, draws it and parses the result.
 rig::Scenario drawn_scenario(const std::string& file, std::uint64_t seed,
                              const std::vector<Override>& overrides = {});
 
--- a/lab/experiment.hpp
+++ b/lab/experiment.hpp
@@ -30,6 +30,7 @@
 };
 Cell cell_of(const Figures& figures);
 
+// What an experiment runs: every combination of seed, policy and settings of the sweep.
 struct Plan {
   std::string day;  // the day's file
   std::vector<std::uint64_t> seeds;
@@ -43,6 +44,7 @@
   std::function<Cell(const rig::Scenario&)> on_sockets;
 };
 
+// The stored results of a plan.
 struct Experiment {
   std::string name, day, revision, where;  // where: "virtual" or "sockets"
   std::vector<Cell> cells;
