--- a/rig/scenario.hpp
+++ b/rig/scenario.hpp
@@ -26,7 +26,7 @@
   shared_slow         // calls at all destinations take `times` as long
 };
 
-// One entry of `troubles`; the fields are those of the file.
+// One entry of `troubles`. The fields have the names of its keys, except `lasts` (`for`).
 struct Trouble {
   TroubleKind kind{};
   Time at = 0, lasts = 0;
--- a/standin/smsc_wire.cpp
+++ b/standin/smsc_wire.cpp
@@ -1,6 +1,6 @@
 // SMPP protocol of a stand-in endpoint: a message centre (SMPP v3.4) with the same faults as the push gateway
-// and some of its own: duplicated responses, responses out of order, unrequested receipts before or with
-// them.
+// and some of its own: duplicated responses, responses out of order, unrequested receipts before a
+// response.
 #include <algorithm>
 #include <map>
 #include <stdexcept>
--- a/tests/burst_test.cpp
+++ b/tests/burst_test.cpp
@@ -1,5 +1,5 @@
-// Harvest week: bursts through one relay with troubles in their middle, judged by the checker from what
-// passed at the sockets. More seeds: CEDARPLANK_BURST_SEEDS=20 (scripts/burst.sh).
+// Bursts of messages through one relay while endpoints have faults. The rule checker checks the frames
+// recorded at the sockets. More seeds: CEDARPLANK_BURST_SEEDS=20 (scripts/burst.sh).
 #include <cstdlib>
 #include <set>
 
@@ -13,11 +13,11 @@
 
 using standin::Fault;
 
-// A service with a load client whose frames are recorded, and the checker's facts of both.
+// A service and a load client whose frames are recorded, and the checker's input from both.
 struct Burst {
   Service s;
   rig::LoadSettings load;
-  std::vector<record::Record> records;  // at the client
+  std::vector<record::Record> records;  // frames at the client
   std::unique_ptr<rig::LoadClient> client;
 
   explicit Burst(std::uint64_t seed) {
@@ -45,7 +45,7 @@
         [this](record::Record&& r) { records.push_back(std::move(r)); });
     client->start();
   }
-  // Judges; the node must have ended by then, so that all frames are there.
+  // Checks the rules. The node must have been destroyed before, so that all frames are recorded.
   rig::Verdict verdict(const std::map<std::string, std::vector<std::pair<Time, Time>>>& outages = {}) {
     rig::Facts facts;
     for (const auto& c : load.classes)
@@ -59,7 +59,8 @@
       facts.places[name].fall_multiple = p.fall_multiple, facts.places[name].overload_for = p.overload_for;
       if (outages.count(name) > 0) facts.places[name].outages = outages.at(name);
     }
-    // Sanitizers slow all of one process down alike; what rules allow is not stretched by it.
+    // Allows for sanitizers, which slow down everything in this process; the limits of the rules stay as they
+    // are.
     facts.slack = 1 * kS, facts.answer_slack = s.settings.dispatcher.answer_slack;
     facts.settle_after_doubt = s.settings.dispatcher.settle_after_doubt;
     auto all = records;
@@ -86,9 +87,9 @@
   return all;
 }
 
-// Five endpoints, one after the other, take a message and drop their connection without a word in the middle
-// of 10,000; clients reset single streams all the time, and one resets all of its at once, beyond what a
-// connection is allowed on odd seeds.
+// During 10,000 messages five endpoints, one after the other, accept a message and drop the connection
+// without an answer. Clients reset single streams all the time, and one client resets all of its streams at
+// once: on odd seeds more than a connection is allowed.
 TEST(Burst, TenThousandMixedMessagesWithDropsAndResets) {
   for (const auto seed : seeds()) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -141,8 +142,9 @@
   }
 }
 
-// SETTINGS_MAX_CONCURRENT_STREAMS drops to 1 in service (RFC 9113 section 6.5.2: streams that are open stay);
-// nothing is lost, nothing is sent above it once it is known, and other destinations don't notice.
+// SETTINGS_MAX_CONCURRENT_STREAMS drops to 1 while calls are open (RFC 9113 section 6.5.2: open streams
+// stay). Nothing is lost, no call exceeds the limit once the relay has read it, and other destinations are
+// not affected.
 TEST(Burst, TheStreamLimitDropsToOneInService) {
   Burst b(7);
   auto place = Service::quick();
@@ -154,7 +156,7 @@
   standin::FaultSettings few;
   few.fault = Fault::few_streams, few.times = 1;
   b.s.endpoint("d1-1").begin(few);
-  rest(b.s.loop, 200 * kMs);  // the streams that were open end; the relay has read the new limit
+  rest(b.s.loop, 200 * kMs);  // until the open streams have ended and the relay has read the new limit
   const std::size_t from = b.s.frames.size();
   turn(b.s.loop, [&] { return b.client->answered() >= 1'400; });
   std::map<std::uint64_t, std::set<std::uint32_t>> open;
@@ -177,8 +179,8 @@
   EXPECT_TRUE(verdict.kept()) << rig::table_of(verdict);
 }
 
-// 10,000 messages wait for one destination that is silent; each is answered in its time, and those that come
-// for its neighbour meanwhile are all served.
+// 10,000 messages wait for one destination that never answers. Each gets its final answer by its deadline,
+// and all messages for another destination are served meanwhile.
 TEST(Burst, TenThousandHeldForOneDestination) {
   Burst b(3);
   b.s.settings.dispatcher.open_max = 12'000, b.s.settings.client_streams_max = 11'000;
@@ -210,7 +212,7 @@
   EXPECT_TRUE(verdict.kept()) << rig::table_of(verdict);
 }
 
-// A partner goes down, 5,000 messages that can't be repeated wait for it, and it comes back cold.
+// A partner goes down, 5,000 messages of an unsafe class wait for it, and it comes back cold.
 struct ColdReturn {
   std::uint64_t finals = 0, served = 0;
   int falls = 0;
@@ -223,7 +225,7 @@
   for (auto& c : d.classes) c.deadline = 40 * kS;
   b.s.settings.client_streams_max = 8'000;
   auto place = Service::quick();
-  place.servers = 20, place.service = 20 * kMs, place.queue = 400;  // 1,000 a second
+  place.servers = 20, place.service = 20 * kMs, place.queue = 400;  // 1,000 per second
   place.cold = d.cold, place.overload_for = d.overload_for, place.cold_from = 0.2, place.fall_multiple = 2;
   b.add(1, 2, place);
   b.s.decider = decider;
@@ -251,18 +253,19 @@
   return r;
 }
 
-// Rule 4 at size: it is not pushed over, and what waited is served as it warms up.
+// Rule 4 with many waiting messages: the cold destination is not overloaded, and the messages are served as
+// its capacity returns.
 TEST(Burst, AColdReturnWhileFiveThousandWait) {
   const auto r = cold_return(relay::make_dispatcher);
   EXPECT_EQ(r.finals, 8'000u);
-  // What was out when it went down may have run and is lost; hardly anything else is.
+  // Calls that were open when it went down may have run, so their messages fail; hardly any others do.
   EXPECT_GE(r.served, 7'800u);
   EXPECT_EQ(r.falls, 0);
   EXPECT_EQ(r.verdict.rules[3].checked, 1u);
   EXPECT_TRUE(r.verdict.kept()) << rig::table_of(r.verdict);
 }
 
-// The same with plain retries: what the test above would look like if nothing held the rush back.
+// The same with plain retries and no protection of the cold destination: shows that the test above can fail.
 TEST(Burst, PlainRetriesPushAColdReturnOver) {
   const auto r = cold_return([](const Settings& settings, std::uint64_t seed) {
     return lab::make_decider(lab::Policy::fixed, settings, seed);
@@ -271,9 +274,9 @@
   EXPECT_FALSE(r.verdict.rules[3].broken.empty());
 }
 
-// One tenant of three sends six times its share for as long as it likes, more than the partners can serve;
-// the others are served as before. Returns how many the door turned away.
-std::uint64_t flood(const std::function<void(config::RelaySettings&)>& adjust) {
+// One tenant of three sends six times its share all the time, more than the partners can serve. The other
+// tenants are served as before. Returns how many messages admission control rejected.
+std::uint64_t excess_tenant_rejections(const std::function<void(config::RelaySettings&)>& adjust) {
   Burst b(5);
   auto& settings = b.s.settings;
   settings.names.tenants = {"a", "b", "c"};
@@ -281,17 +284,18 @@
   settings.dispatcher.open_max = 300;
   adjust(settings);
   auto place = Service::quick();
-  place.servers = 2, place.service = 10 * kMs, place.queue = 50;  // 200 a second, each of two; 590 are asked
+  // 200 per second at each of two destinations; 590 are sent.
+  place.servers = 2, place.service = 10 * kMs, place.queue = 50;
   b.add(2, 1, place);
   b.load.skew = 0, b.load.rate = 220, b.load.count = 3'500, b.load.outstanding = 0;
   b.load.tenants = settings.names.tenants, b.load.tenant_field = settings.tenant_field;
   b.start();
   b.client->book().set_greedy(1, 6);
-  b.client->book().set_rate_times(8.0 / 3);  // 1 + 6 + 1 parts instead of three: the others ask as before
+  b.client->book().set_rate_times(8.0 / 3);  // 1 + 6 + 1 shares instead of three: the others send as before
   turn(
       b.s.loop, [&] { return b.client->done(); }, 120 * kS);
   std::map<std::pair<std::uint64_t, std::uint32_t>, std::string> tenant_of;
-  std::map<std::string, std::pair<int, int>> served;  // of asked, by tenant
+  std::map<std::string, std::pair<int, int>> served;  // by tenant: served and sent messages
   for (const auto& r : b.records) {
     const auto stream = std::pair(r.connection, r.stream);
     if (r.what == "HEADERS" && r.sent) {
@@ -303,7 +307,7 @@
   }
   const auto share = [&](const char* t) { return served[t].first / std::max(1.0, 1.0 * served[t].second); };
   EXPECT_GT(served["b"].second, 4 * served["a"].second);
-  EXPECT_LT(share("b"), 0.8) << "there was no flood";
+  EXPECT_LT(share("b"), 0.8) << "the tenant did not send more than the partners can serve";
   EXPECT_GT(share("a"), 0.95);
   EXPECT_GT(share("c"), 0.95);
   const auto not_taken = b.s.node->core().counts().not_taken;
@@ -313,24 +317,26 @@
   return not_taken;
 }
 
-// By quota, in the module: what is beyond it is worth less, and goes first when the buffer fills. The door
-// has nothing to do but when the whole program stood still for a while, and all that came meanwhile is read
-// before the next round: no more than a fraction of what it turns away in the test below.
+// By quota, in the dispatcher: messages beyond the quota are worth less and are refused first when the buffer
+// fills. Admission control only acts when the whole program was stopped for a while and all messages that
+// arrived meanwhile are read before the next round: it rejects no more than a fraction of what it does in the
+// next test.
 TEST(Burst, ATenantBeyondItsQuotaYieldsInTheModule) {
-  EXPECT_LT(flood([](config::RelaySettings& s) {
+  EXPECT_LT(excess_tenant_rejections([](config::RelaySettings& s) {
               s.dispatcher.over_share_worth = 0.2;
-              s.late_at = 60 * kS;  // a slow machine is no overload here
+              s.late_at = 60 * kS;  // so that a slow machine does not count as overload here
             }),
             175u);
 }
 
-// Where memory for bodies runs short, of which the module knows nothing, by fair shares at the door.
+// When memory for bodies runs short, which the dispatcher doesn't know of, admission control applies fair
+// shares.
 TEST(Burst, ATenantBeyondItsShareOfMemoryYieldsAtTheDoor) {
-  EXPECT_GT(flood([](config::RelaySettings& s) { s.held_bytes_max = 50'000; }), 500u);
+  EXPECT_GT(excess_tenant_rejections([](config::RelaySettings& s) { s.held_bytes_max = 50'000; }), 500u);
 }
 
-// 500 clients at once on one poll(2), a tenth of which read none of their answers: the others' are all
-// served.
+// 500 clients at once on one poll(2), a tenth of which don't read their answers: the messages of all others
+// are served.
 TEST(Burst, ManyClientsAndSomeThatReadNothing) {
   Service s;
   s.settings.dispatcher.open_max = 5'000;
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -1,4 +1,5 @@
-// The checker on recordings: a clean one, and one that breaks each rule. And the stand-ins' model.
+// Tests of the rule checker on recordings, a correct one and some that break each rule; of scenario files,
+// the wire capture, and the capacity model of the stand-ins.
 #include "rig/checker.hpp"
 
 #include <gtest/gtest.h>
@@ -14,15 +15,15 @@
 constexpr Time kMs = 1'000, kS = 1'000'000;
 using record::Record;
 
-// A day in a few lines: pushes by a client to relay r, calls by it at endpoints.
-struct Day {
+// A short recording: pushes by a client to relay r, and calls by the relay at endpoints.
+struct Recording {
   Facts facts;
   std::vector<Record> records;
   std::vector<standin::Effect> effects;
   std::uint32_t streams = 1;
   std::map<std::string, std::uint32_t> pushes, calls;
 
-  Day() {
+  Recording() {
     facts.classes = {{"safe", {Effect::safe, 6 * kS, false}},
                      {"pay", {Effect::unsafe, 6 * kS, false}},
                      {"note", {Effect::keyed, 6 * kS, false}},
@@ -72,7 +73,7 @@
     push(at, id, cls, topic), call(at + 10 * kMs, id, "e1"), reply(at + 60 * kMs, id, "e1", "201"),
         answer(at + 70 * kMs, id, "201");
   }
-  // Which rules are broken, as digits.
+  // The numbers of the broken rules, as digits.
   std::string broken() const {
     std::string rules;
     const auto verdict = check_rules(facts, records, effects);
@@ -83,27 +84,27 @@
 };
 
 TEST(Checker, ACleanDay) {
-  Day d;
+  Recording d;
   for (int i = 0; i < 20; i++)
     d.served(i * 200 * kMs, "m-" + std::to_string(i) + ".0", i % 2 ? "pay" : "safe");
   EXPECT_EQ(d.broken(), "");
   EXPECT_EQ(check_rules(d.facts, d.records, d.effects).rules[0].checked, 20u);
 }
 TEST(Checker, Rule1NoAnswer) {
-  Day d;
+  Recording d;
   d.push(0, "m-1.0", "safe");
   EXPECT_EQ(d.broken(), "1");
-  d.facts.lives.push_back({"r", 0, 3 * kS});  // what a killed relay held is the client's
+  d.facts.lives.push_back({"r", 0, 3 * kS});  // messages that a killed relay held are the client's concern
   EXPECT_EQ(d.broken(), "");
-  Day dead;  // pushed at a relay that is dead already, before its client noticed
+  Recording dead;  // pushed to a relay that was dead already, before its client noticed
   dead.push(kS, "m-1.0", "safe");
   dead.facts.lives.push_back({"r", 0, kS - 20 * kMs});
   EXPECT_EQ(dead.broken(), "");
 }
-// A GOAWAY proves calls unrun that were sent before it was read, too.
+// A GOAWAY also proves that calls sent before the relay read it did not run.
 TEST(Checker, AGoawayProvesLaterStreamsUnrun) {
   for (const bool goaway : {false, true}) {
-    Day d;
+    Recording d;
     d.push(0, "m-1.0", "pay");
     if (goaway) d.add(5 * kMs, Record::Side::endpoint, "e1", true, "GOAWAY", 0).last = 1;
     d.call(10 * kMs, "m-1.0", "e1"), d.call(kS, "m-1.0", "e2");
@@ -112,23 +113,25 @@
   }
 }
 TEST(Checker, Rule1LateTwiceOrAfterTheEnd) {
-  Day late;
+  Recording late;
   late.push(0, "m-1.0", "safe"), late.answer(6'300 * kMs, "m-1.0", "503");
   EXPECT_EQ(late.broken(), "1");
-  late.facts.stalls.push_back({"r", 5 * kS, 6'290 * kMs});  // a relay that stands still is not running
+  late.facts.stalls.push_back({"r", 5 * kS, 6'290 * kMs});  // a stopped relay is not running
   EXPECT_EQ(late.broken(), "");
-  Day slept;  // what comes while it stands still is taken, and its time begins, when it goes on
-  slept.push(0, "m-1.0", "safe"), slept.answer(7 * kS, "m-1.0", "503");
-  EXPECT_EQ(slept.broken(), "1");
-  slept.facts.stalls.push_back({"r", -100 * kMs, kS});
-  EXPECT_EQ(slept.broken(), "");
-  Day twice;
+  // A message that arrives while the relay is stopped is accepted, and its time starts, when the relay
+  // continues.
+  Recording stopped;
+  stopped.push(0, "m-1.0", "safe"), stopped.answer(7 * kS, "m-1.0", "503");
+  EXPECT_EQ(stopped.broken(), "1");
+  stopped.facts.stalls.push_back({"r", -100 * kMs, kS});
+  EXPECT_EQ(stopped.broken(), "");
+  Recording twice;
   twice.served(0, "m-1.0", "safe"), twice.answer(kS, "m-1.0", "503");
   EXPECT_EQ(twice.broken(), "1");
-  Day after;
+  Recording after;
   after.served(0, "m-1.0", "safe"), after.call(kS, "m-1.0", "e2");
   EXPECT_EQ(after.broken(), "1");
-  Day withdrawn;
+  Recording withdrawn;
   withdrawn.push(0, "m-1.0", "safe");
   withdrawn.add(100 * kMs, Record::Side::client, "r", true, "RST_STREAM", withdrawn.pushes["m-1.0"]);
   EXPECT_EQ(withdrawn.broken(), "");
@@ -136,33 +139,33 @@
   EXPECT_EQ(withdrawn.broken(), "1");
 }
 TEST(Checker, Rule2EffectsAndProof) {
-  Day twice;
+  Recording twice;
   twice.served(0, "m-1.0", "pay"), twice.served(kS, "m-1.1", "pay");
   EXPECT_EQ(twice.broken(), "2");
-  Day refused;  // handed back though it ran
+  Recording refused;  // refused though it took effect
   refused.push(0, "m-1.0", "pay"), refused.call(10 * kMs, "m-1.0", "e1"),
       refused.reply(20 * kMs, "m-1.0", "e1", "201");
   refused.answer(30 * kMs, "m-1.0", "503");
   EXPECT_EQ(refused.broken(), "2");
-  Day again;  // sent again after a 500, which proves nothing
+  Recording again;  // sent again after a 500, which proves nothing
   again.push(0, "m-1.0", "pay"), again.call(10 * kMs, "m-1.0", "e1"),
       again.reply(20 * kMs, "m-1.0", "e1", "500");
   again.call(30 * kMs, "m-1.0", "e2"), again.reply(40 * kMs, "m-1.0", "e2", "201"),
       again.answer(50 * kMs, "m-1.0", "201");
   EXPECT_EQ(again.broken(), "2");
-  Day proved;  // after a 429 it may
+  Recording proved;  // after a 429 it may be sent again
   proved.push(0, "m-1.0", "pay"), proved.call(10 * kMs, "m-1.0", "e1"),
       proved.reply(20 * kMs, "m-1.0", "e1", "429");
   proved.call(30 * kMs, "m-1.0", "e2"), proved.reply(40 * kMs, "m-1.0", "e2", "201"),
       proved.answer(50 * kMs, "m-1.0", "201");
   EXPECT_EQ(proved.broken(), "");
-  Day keyed;
+  Recording keyed;
   keyed.push(0, "m-1.0", "note"), keyed.answer(kS, "m-1.0", "201");
   keyed.effects = {{1, "e1", "d", "m-1.0", "k"}, {2, "e2", "d", "m-1.0", "k"}};
   EXPECT_EQ(keyed.broken(), "2");
 }
 TEST(Checker, Rule3Drains) {
-  Day d;
+  Recording d;
   d.facts.told = {{"e1", 1 * kS}};
   d.served(2 * kS, "m-1.0", "safe");
   EXPECT_EQ(d.broken(), "");  // within reread and grace
@@ -170,8 +173,8 @@
   EXPECT_EQ(d.broken(), "3");
 }
 TEST(Checker, Rule4PushOver) {
-  const auto day = [](bool knew) {
-    Day d;
+  const auto broken_rules = [](bool knew) {
+    Recording d;
     d.facts.places["d"].outages = {{kS, 3 * kS}};
     if (knew) {
       d.push(2 * kS, "m-0.0", "safe"), d.call(2 * kS, "m-0.0", "e1");
@@ -181,17 +184,17 @@
     for (int i = 1; i <= 60; i++) d.served(3 * kS + i * 10 * kMs, "m-" + std::to_string(i) + ".0", "safe");
     return d.broken();
   };
-  EXPECT_EQ(day(true), "4");
-  EXPECT_EQ(day(false), "");  // relays that had seen nothing of it
+  EXPECT_EQ(broken_rules(true), "4");
+  EXPECT_EQ(broken_rules(false), "");  // relays that could not know of the outage
 }
 TEST(Checker, Rule5Order) {
-  Day fine;
+  Recording fine;
   fine.served(0, "m-1.0", "gate", "t"), fine.served(100 * kMs, "m-2.0", "gate", "t");
   EXPECT_EQ(fine.broken(), "");
-  Day overlap;
+  Recording overlap;
   overlap.served(0, "m-1.0", "gate", "t"), overlap.served(20 * kMs, "m-2.0", "gate", "t");
   EXPECT_EQ(overlap.broken(), "5");
-  Day doubt;  // given up at 100 ms, the key has to rest
+  Recording doubt;  // given up at 100 ms: the order key is blocked for settle_after_doubt
   doubt.facts.settle_after_doubt = kS;
   doubt.push(0, "m-1.0", "gate", "t"), doubt.call(10 * kMs, "m-1.0", "e1");
   doubt.add(100 * kMs, Record::Side::endpoint, "e1", false, "RST_STREAM", doubt.calls["m-1.0e1"]),
@@ -200,19 +203,19 @@
   EXPECT_EQ(doubt.broken(), "5");
 }
 TEST(Checker, Rule6Waits) {
-  const auto day = [](Time next) {
-    Day d;
+  const auto broken_rules = [](Time next) {
+    Recording d;
     d.push(0, "m-1.0", "safe"), d.call(10 * kMs, "m-1.0", "e1"), d.reply(20 * kMs, "m-1.0", "e1", "429", "2"),
         d.answer(30 * kMs, "m-1.0", "503");
     d.push(next, "m-2.0", "safe"), d.call(next, "m-2.0", "e2"), d.reply(next + kMs, "m-2.0", "e2", "201"),
         d.answer(next + 2 * kMs, "m-2.0", "201");
     return d.broken();
   };
-  EXPECT_EQ(day(kS), "6");  // at another endpoint of the same destination
-  EXPECT_EQ(day(2'030 * kMs), "");
+  EXPECT_EQ(broken_rules(kS), "6");  // at another endpoint of the same destination
+  EXPECT_EQ(broken_rules(2'030 * kMs), "");
 }
 TEST(Checker, RecordsGoThroughJson) {
-  Day d;
+  Recording d;
   d.served(0, "m-1.0", "pay");
   for (const auto& r : d.records) {
     const auto back = record::from_json(record::to_json(r));
@@ -226,12 +229,12 @@
   const auto s = load_scenario(EXAMPLES "/bad-day.yaml");
   std::set<int> kinds;
   for (const auto& t : s.troubles) kinds.insert(static_cast<int>(t.kind));
-  EXPECT_EQ(kinds.size(), 10u);  // every kind of trouble
+  EXPECT_EQ(kinds.size(), 10u);  // the kinds of trouble that the example contains
   EXPECT_LT(s.lasts, 90 * kS);
   EXPECT_THROW(load_scenario(EXAMPLES "/quickstart/relay.yaml"), config::ConfigError);
 }
 
-// The tap reads frames by itself, in any pieces.
+// The capture decodes frames from pieces of any size.
 TEST(Tap, ReadsFramesInPieces) {
   http2::Connection client(http2::Role::client), server(http2::Role::server);
   std::vector<http2::Event> events;
@@ -267,9 +270,9 @@
     Place p(s, 1);
     int served = 0;
     for (Time t = 0; t < 10 * kS; t += 50 * kMs)
-      served += p.arrive(t).verdict == emulator::Verdict::accepted;  // 20 a second
+      served += p.arrive(t).verdict == emulator::Verdict::accepted;  // 20 per second
     if (count)
-      EXPECT_LE(served, 12);  // overrun for good
+      EXPECT_LE(served, 12);  // refused calls keep the limit used up
     else
       EXPECT_EQ(served, 100);
   }
@@ -285,7 +288,8 @@
 }
 TEST(Place, BackColdItFallsWhenPushed) {
   PlaceSettings s;
-  s.servers = 10, s.service = 100 * kMs, s.cold = 5 * kS, s.fall_multiple = 2;  // 100 a second warm, 20 cold
+  // 100 calls per second when warm, 20 when cold.
+  s.servers = 10, s.service = 100 * kMs, s.cold = 5 * kS, s.fall_multiple = 2;
   Place gentle(s, 1), pushed(s, 1), warm(s, 1);
   for (Place* p : {&gentle, &pushed}) p->outage_begins(0), p->outage_ends(kS);
   for (Time t = kS; t < 5 * kS; t += 50 * kMs) gentle.arrive(t);
--- a/tests/drill_test.sh
+++ b/tests/drill_test.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Usage: drill_test.sh PROGRAM SCENARIO [FAULTY RULE]: a clean day, or one in which a planted fault breaks RULE.
+# Usage: drill_test.sh PROGRAM SCENARIO [FAULTY RULE]: runs the scenario with the relay of PROGRAM, where all rules
+# must hold, or with the relay FAULTY, whose injected fault must break RULE.
 set -u
 out=$(mktemp)
 trap 'rm -f "$out"' EXIT
--- a/tests/faulty_relay.cpp
+++ b/tests/faulty_relay.cpp
@@ -1,6 +1,6 @@
-// The relay with a fault planted between the core and the module, one for each rule (CEDARPLANK_FAULT=1..6),
-// and one that forgets what its last run did (7).
-// Drills run it to show that the checker sees a broken rule. Never installed.
+// The relay with a fault injected between the core and the dispatcher: one for each rule
+// (CEDARPLANK_FAULT=1..6), and one that forgets the attempts of its previous run (7). Scenario runs use it to
+// show that the checker detects a broken rule. Never installed.
 #include <signal.h>
 
 #include <cstdio>
@@ -24,20 +24,20 @@
       if (auto* a = std::get_if<event::Arrival>(&e)) {
         unsafe_.insert_or_assign(
             a->id, settings_.classes[static_cast<std::size_t>(a->message_class)].effect == Effect::unsafe);
-        if (fault_ == 1 && a->id % 40 == 0) continue;  // forgotten: it gets no final answer
-        if (fault_ == 5) a->order_key.clear();         // order is not kept
+        if (fault_ == 1 && a->id % 40 == 0) continue;  // dropped: it gets no final answer
+        if (fault_ == 5) a->order_key.clear();         // breaks the order
         if (fault_ == 7) a->attempts = 0, a->ran_zone = -1;
       } else if (auto* ended = std::get_if<event::AttemptEnded>(&e)) {
         const bool lost = ended->outcome == Outcome::reset || ended->outcome == Outcome::timeout;
         if (fault_ == 2 && lost && unsafe_[ended->id])
-          ended->outcome = Outcome::not_sent;  // "never ran": it goes again
+          ended->outcome = Outcome::not_sent;  // reported as not run, so that it is sent again
         if (fault_ == 4 && ended->outcome != Outcome::served)
-          ended->outcome = Outcome::not_sent;  // outages go unseen
+          ended->outcome = Outcome::not_sent;  // hides outages
         if (fault_ == 6) ended->told_wait = 0;
       } else if (auto* whole = std::get_if<event::ListWhole>(&e)) {
-        if (fault_ == 3) stay(whole->endpoints);
+        if (fault_ == 3) keep_active(whole->endpoints);
       } else if (auto* changes = std::get_if<event::ListChanges>(&e)) {
-        if (fault_ == 3) stay(changes->endpoints);
+        if (fault_ == 3) keep_active(changes->endpoints);
       }
       changed.push_back(std::move(e));
     }
@@ -45,8 +45,8 @@
   }
 
  private:
-  static void stay(std::vector<Endpoint>& endpoints) {
-    for (auto& e : endpoints) e.listing = Listing::active;  // drains go unheard
+  static void keep_active(std::vector<Endpoint>& endpoints) {
+    for (auto& e : endpoints) e.listing = Listing::active;  // hides drains
   }
   Settings settings_;
   std::unique_ptr<relay::Decider> inner_;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,4 +1,4 @@
-// The six rules, each with events that break it where its guard is taken out.
+// Tests of the six rules: for each, events on which the dispatcher would break the rule without its guard.
 #include "harness.hpp"
 
 namespace cedarplank::testing {
@@ -91,7 +91,7 @@
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kKeyed);
   r.run_to(r.now + 4 * kS);
-  r.end(id, Outcome::full);  // never ran: no window opens
+  r.end(id, Outcome::full);  // did not run, so no key window opens
   r.run_to(r.now + 4 * kS);
   ASSERT_EQ(r.sends_of(id), 2);
   const Time second = r.sent.back().at;
@@ -117,7 +117,7 @@
     for (const auto& sent : r.sent) EXPECT_EQ(sent.endpoint == "a", first == "a");
     EXPECT_EQ(r.refused.count(id), 0u);
     r.run_to(r.now + 20 * kS);
-    EXPECT_EQ(r.refused.count(id), 0u);  // it may have run, and not every endpoint drops repeats
+    EXPECT_EQ(r.refused.count(id), 0u);  // it may have run, and not every endpoint drops its repeats
   }
 }
 
@@ -143,7 +143,8 @@
   EXPECT_FALSE(r.sent.empty());
 }
 
-// After any outage, no window may hold much more than this relay's part of what a cold destination stands.
+// After an outage, no time window may hold many more calls than this relay's share of what a cold destination
+// withstands.
 void expect_gentle_return(Outcome symptom) {
   auto s = plain();
   s.fall_multiple = 2, s.cold_from = 0.2, s.cold = 8 * kS;
@@ -180,7 +181,7 @@
   r.run_to(told + 1500 * kMs);
   r.arrive(kSafe);
   EXPECT_EQ(r.sends_between(told + 1, told + 2 * kS), 0);
-  r.arrive(kSafe, 2);  // others are not held
+  r.arrive(kSafe, 2);  // other destinations are not held back
   EXPECT_EQ(r.sent.back().endpoint, "c");
   r.run_to(told + 4 * kS);
   EXPECT_GE(r.sends_between(told + 2 * kS, told + 4 * kS), 1);
@@ -214,7 +215,7 @@
     events.push_back(a);
   }
   r.round(events);
-  ASSERT_EQ(r.out.size(), 2u);  // one call
+  ASSERT_EQ(r.out.size(), 2u);  // bundled into one call
   r.end(100, Outcome::full, 1 * kS);
   r.run_to(r.now + 30 * kMs);
   r.end(101, Outcome::full, 1 * kS);
