--- a/rig/checker.cpp
+++ b/rig/checker.cpp
@@ -13,50 +13,50 @@
 std::string base_of(const std::string& message) { return message.substr(0, message.find('.')); }
 
 struct Checker {
-  const Facts& facts;
+  const Facts& input;
   const Observed& observed;
   const std::vector<standin::Effect>& effects;
   const std::vector<Try>& requests = observed.tries;
   const std::vector<Call>& calls = observed.calls;
   std::map<std::string, std::vector<std::size_t>> calls_of;  // indices into `calls`, by the request's name
   std::map<std::string, std::size_t> request_of;             // index into `requests`, by the request's name
-  Verdict verdict;
+  Verdict result;
 
   Checker(const Facts& f, const Observed& o, const std::vector<standin::Effect>& e)
-      : facts(f), observed(o), effects(e) {
+      : input(f), observed(o), effects(e) {
     const char* names[] = {"1 one final answer", "2 no effect twice", "3 drains kept",
                            "4 no push over",     "5 order kept",      "6 waits kept"};
-    for (int i = 0; i < 6; i++) verdict.rules[i].name = names[i];
+    for (int i = 0; i < 6; i++) result.rules[i].name = names[i];
     for (std::size_t i = 0; i < calls.size(); i++) calls_of[calls[i].message].push_back(i);
     for (std::size_t i = 0; i < requests.size(); i++)
       if (requests[i].whole_at != kNever) request_of[requests[i].message] = i;
   }
 
-  void violated(int rule, std::string what) { verdict.rules[rule - 1].broken.push_back(std::move(what)); }
-  std::uint64_t& checked(int rule) { return verdict.rules[rule - 1].checked; }
+  void violated(int rule, std::string what) { result.rules[rule - 1].broken.push_back(std::move(what)); }
+  std::uint64_t& checked(int rule) { return result.rules[rule - 1].checked; }
   // A stopped relay can't act: what fell due while it was stopped is due when it continues.
   Time after_stalls(const std::string& relay, Time t) const {
-    for (const auto& s : facts.stalls)
-      if (s.relay == relay && t >= s.from - facts.slack && t <= s.to) return s.to + facts.slack;
+    for (const auto& s : input.stalls)
+      if (s.relay == relay && t >= s.from - input.slack && t <= s.to) return s.to + input.slack;
     return t;
   }
   bool stalled_between(const std::string& relay, Time from, Time to) const {
-    return std::any_of(facts.stalls.begin(), facts.stalls.end(),
+    return std::any_of(input.stalls.begin(), input.stalls.end(),
                        [&](const auto& s) { return s.relay == relay && s.from <= to && s.to >= from; });
   }
   bool died_between(const std::string& relay, Time from, Time to) const {
-    return std::any_of(facts.lives.begin(), facts.lives.end(),
+    return std::any_of(input.lives.begin(), input.lives.end(),
                        [&](const auto& l) { return l.relay == relay && l.to >= from && l.to <= to; });
   }
   const Facts::Class* class_of(const std::string& message) const {
     const auto it = request_of.find(message);
     if (it == request_of.end()) return nullptr;
-    const auto c = facts.classes.find(requests[it->second].cls);
-    return c == facts.classes.end() ? nullptr : &c->second;
+    const auto c = input.classes.find(requests[it->second].cls);
+    return c == input.classes.end() ? nullptr : &c->second;
   }
-  std::string place_of(const std::string& endpoint) const {
-    const auto it = facts.place_of.find(endpoint);
-    return it == facts.place_of.end() ? endpoint : it->second;
+  std::string domain_of(const std::string& endpoint) const {
+    const auto it = input.place_of.find(endpoint);
+    return it == input.place_of.end() ? endpoint : it->second;
   }
 
   void one_final_answer();
@@ -72,19 +72,19 @@
 void Checker::one_final_answer() {
   for (const auto& t : requests) {
     if (t.whole_at == kNever || t.unprocessed) continue;  // incomplete, or proved not accepted
-    const auto cls = facts.classes.find(t.cls);
-    if (cls == facts.classes.end()) continue;
+    const auto cls = input.classes.find(t.cls);
+    if (cls == input.classes.end()) continue;
     checked(1)++;
     if (t.answers > 1) violated(1, fmt::format("{} at {}: {} final answers", t.message, t.relay, t.answers));
     // A message that arrives while a relay is stopped is accepted, and its time starts, when the relay
     // continues.
     const Time deadline = after_stalls(t.relay, t.whole_at) + std::min(t.ttl, cls->second.deadline) +
-                          facts.answer_slack + facts.slack;
+                          input.answer_slack + input.slack;
     const Time due = after_stalls(t.relay, deadline);
     const Time end = std::min({t.answered_at, t.reset_at});
     // Not required of a message pushed to a relay that had just been killed, before its client noticed: that
     // one was never accepted.
-    if (end > due && !died_between(t.relay, t.sent_at - facts.slack, due)) {
+    if (end > due && !died_between(t.relay, t.sent_at - input.slack, due)) {
       violated(1, t.answered_at == kNever ? fmt::format("{} at {}: no final answer", t.message, t.relay)
                                           : fmt::format("{} at {}: answered {} ms late", t.message, t.relay,
                                                         (t.answered_at - due) / 1000));
@@ -94,7 +94,7 @@
     if (sent == calls_of.end()) continue;
     for (const auto i : sent->second) {
       const Call& c = calls[i];
-      if (c.relay == t.relay && c.at > after_stalls(t.relay, end + facts.slack))
+      if (c.relay == t.relay && c.at > after_stalls(t.relay, end + input.slack))
         violated(
             1, fmt::format("{} sent to {} {} ms after its end", t.message, c.endpoint, (c.at - end) / 1000));
     }
@@ -136,7 +136,7 @@
 // Rule 3: no new call goes to an endpoint once the drain grace after the relay was notified has passed.
 void Checker::drains() {
   std::map<std::string, Time> told;
-  for (const auto& t : facts.told) {
+  for (const auto& t : input.told) {
     const auto [it, fresh] = told.emplace(t.endpoint, t.at);
     if (!fresh) it->second = std::min(it->second, t.at);
   }
@@ -144,7 +144,7 @@
     const auto it = told.find(c.endpoint);
     if (it == told.end()) continue;
     checked(3)++;
-    const Time last = after_stalls(c.relay, it->second + facts.reread) + facts.drain_grace + facts.slack;
+    const Time last = after_stalls(c.relay, it->second + input.reread) + input.drain_grace + input.slack;
     if (c.at > last)
       violated(3, fmt::format("{} sent {} to {} {} ms after the last moment", c.relay, c.message, c.endpoint,
                               (c.at - last) / 1000));
@@ -153,12 +153,12 @@
 
 // Rule 4: relays that noticed a destination's outage don't overload it while it is still cold afterwards.
 void Checker::overload_after_outage() {
-  std::map<std::string, std::vector<const Call*>> by_place;
-  for (const auto& c : calls) by_place[place_of(c.endpoint)].push_back(&c);
-  for (const auto& [name, place] : facts.places) {
-    if (place.cold <= 0) continue;
-    const auto& all = by_place[name];
-    for (const auto& [from, to] : place.outages) {
+  std::map<std::string, std::vector<const Call*>> by_domain;
+  for (const auto& c : calls) by_domain[domain_of(c.endpoint)].push_back(&c);
+  for (const auto& [name, domain] : input.places) {
+    if (domain.cold <= 0) continue;
+    const auto& all = by_domain[name];
+    for (const auto& [from, to] : domain.outages) {
       checked(4)++;
       // A relay knows of the outage if one of its calls failed during it, or if a request for the destination
       // was pending at the relay during it and did not succeed.
@@ -167,21 +167,21 @@
         if (c->at <= to && c->over_at() >= from && !(c->status[0] == '2' && c->answered_at < to))
           aware.insert(c->relay);
       for (const auto& t : requests)
-        if (t.destination == name && t.sent_at < to - 2 * facts.slack && t.sent_at > from &&
+        if (t.destination == name && t.sent_at < to - 2 * input.slack && t.sent_at > from &&
             t.status != "201")
           aware.insert(t.relay);
       std::vector<const Call*> window;
       for (const auto* c : all) {
-        if (c->at <= to || c->at > to + place.cold) continue;
+        if (c->at <= to || c->at > to + domain.cold) continue;
         window.push_back(c);
-        while (window.front()->at <= c->at - place.overload_for) window.erase(window.begin());
+        while (window.front()->at <= c->at - domain.overload_for) window.erase(window.begin());
         const auto warm_at = [&](Time t) {
-          return place.cold_from + (1 - place.cold_from) * static_cast<double>(std::max(t, to) - to) /
-                                       static_cast<double>(place.cold);
+          return domain.cold_from + (1 - domain.cold_from) * static_cast<double>(std::max(t, to) - to) /
+                                        static_cast<double>(domain.cold);
         };
-        const double warm = (warm_at(c->at - place.overload_for) + warm_at(c->at)) / 2;
+        const double warm = (warm_at(c->at - domain.overload_for) + warm_at(c->at)) / 2;
         const double budget =
-            emulator::push_budget(place.fall_multiple, place.capacity * warm, place.overload_for);
+            emulator::push_budget(domain.fall_multiple, domain.capacity * warm, domain.overload_for);
         if (static_cast<double>(window.size()) <= budget) continue;
         const auto aware_calls = std::count_if(window.begin(), window.end(),
                                                [&](const Call* w) { return aware.count(w->relay) > 0; });
@@ -189,7 +189,7 @@
         violated(4,
                  fmt::format("{}: {} calls in {} ms, {:.0f} allowed, {} of them by relays that knew; {} ms "
                              "after its return",
-                             name, window.size(), place.overload_for / 1000, budget, aware_calls,
+                             name, window.size(), domain.overload_for / 1000, budget, aware_calls,
                              (c->at - to) / 1000));
         break;
       }
@@ -202,8 +202,8 @@
 void Checker::order() {
   std::map<std::pair<std::string, std::string>, std::vector<const Try*>> by_key;
   for (const auto& t : requests) {
-    const auto cls = facts.classes.find(t.cls);
-    if (cls != facts.classes.end() && cls->second.ordered && !t.topic.empty() && t.whole_at != kNever)
+    const auto cls = input.classes.find(t.cls);
+    if (cls != input.classes.end() && cls->second.ordered && !t.topic.empty() && t.whole_at != kNever)
       by_key[{t.relay, t.topic}].push_back(&t);
   }
   for (auto& [name, queue] : by_key) {
@@ -221,7 +221,7 @@
         const Try& earlier = *queue[i];
         // A restarted relay knows nothing of it; nor does a relay that was dead already when its client
         // pushed.
-        if (died_between(name.first, earlier.sent_at - facts.slack, first)) continue;
+        if (died_between(name.first, earlier.sent_at - input.slack, first)) continue;
         const auto its_calls = calls_of.find(earlier.message);
         const Time end = std::min({earlier.answered_at, earlier.reset_at});
         if (its_calls != calls_of.end()) {
@@ -231,10 +231,10 @@
             const bool doubt = c.answered_at == kNever && !c.proved_unrun;
             // The protocol doesn't show when the relay gave this call up; its message has ended at the client
             // by now.
-            if (c.quiet_end && c.at <= first && end <= first + facts.slack) continue;
+            if (c.quiet_end && c.at <= first && end <= first + input.slack) continue;
             const Time blocked_until =
                 c.over_at() == kNever ? kNever
-                                      : c.over_at() + (doubt ? facts.settle_after_doubt - facts.slack : 0);
+                                      : c.over_at() + (doubt ? input.settle_after_doubt - input.slack : 0);
             if (c.at > first || blocked_until > first) {
               violated(5, fmt::format("{}: {} sent while {} of the same key {}", name.first, later.message,
                                       earlier.message,
@@ -245,7 +245,7 @@
             }
           }
         }
-        if (end > first + facts.slack)
+        if (end > first + input.slack)
           violated(5, fmt::format("{}: {} sent before {} of the same key was over", name.first, later.message,
                                   earlier.message));
       }
@@ -255,13 +255,13 @@
 
 // Rule 6: a told wait holds back every call to that destination, or to that endpoint where routes are apart.
 void Checker::waits() {
-  std::map<std::pair<std::string, std::string>, std::vector<const Call*>> by_place;
-  for (const auto& c : calls) by_place[{c.relay, place_of(c.endpoint)}].push_back(&c);
-  for (auto& [name, all] : by_place) {
+  std::map<std::pair<std::string, std::string>, std::vector<const Call*>> by_domain;
+  for (const auto& c : calls) by_domain[{c.relay, domain_of(c.endpoint)}].push_back(&c);
+  for (auto& [name, all] : by_domain) {
     for (const auto* told : all) {
       if (told->told_wait <= 0 || told->given_up_at < told->answered_at) continue;
       checked(6)++;
-      const Time from = after_stalls(name.first, told->answered_at) + facts.slack,
+      const Time from = after_stalls(name.first, told->answered_at) + input.slack,
                  to = told->answered_at + told->told_wait;
       const auto first =
           std::upper_bound(all.begin(), all.end(), from, [](Time t, const Call* c) { return t < c->at; });
@@ -275,26 +275,26 @@
 
 }  // namespace
 
-Verdict check_rules(const Facts& facts, const Observed& observed,
+Verdict check_rules(const Facts& input, const Observed& observed,
                     const std::vector<standin::Effect>& effects) {
-  Checker c(facts, observed, effects);
+  Checker c(input, observed, effects);
   c.one_final_answer();
   c.no_effect_twice();
   c.drains();
   c.overload_after_outage();
   c.order();
   c.waits();
-  return std::move(c.verdict);
+  return std::move(c.result);
 }
 
-Verdict check_rules(const Facts& facts, std::vector<record::Record> records,
+Verdict check_rules(const Facts& input, std::vector<record::Record> records,
                     const std::vector<standin::Effect>& effects) {
-  return check_rules(facts, observe(std::move(records), facts.unseen_503), effects);
+  return check_rules(input, observe(std::move(records), input.unseen_503), effects);
 }
 
-std::string table_of(const Verdict& verdict, std::size_t cases_shown) {
+std::string table_of(const Verdict& result, std::size_t cases_shown) {
   std::string out = fmt::format("{:<22} {:>10} {:>8}\n", "rule", "checked", "broken");
-  for (const auto& r : verdict.rules) {
+  for (const auto& r : result.rules) {
     out += fmt::format("{:<22} {:>10} {:>8}\n", r.name, r.checked, r.broken.size());
     for (std::size_t i = 0; i < std::min(cases_shown, r.broken.size()); i++)
       out += "    " + r.broken[i] + "\n";
--- a/rig/checker.hpp
+++ b/rig/checker.hpp
@@ -64,11 +64,11 @@
 };
 
 // Checks all six rules. The second form extracts requests and calls from recorded frames first.
-Verdict check_rules(const Facts& facts, const Observed& observed,
+Verdict check_rules(const Facts& input, const Observed& observed,
                     const std::vector<standin::Effect>& effects);
-Verdict check_rules(const Facts& facts, std::vector<record::Record> records,
+Verdict check_rules(const Facts& input, std::vector<record::Record> records,
                     const std::vector<standin::Effect>& effects);
 // Formats the result as a table, with up to `cases_shown` violations listed under each rule.
-std::string table_of(const Verdict& verdict, std::size_t cases_shown = 3);
+std::string table_of(const Verdict& result, std::size_t cases_shown = 3);
 
 }  // namespace cedarplank::rig
--- a/rig/client_wire.cpp
+++ b/rig/client_wire.cpp
@@ -13,25 +13,25 @@
  public:
   explicit Http2ClientWire(const std::string& authority) : authority_(authority) {}
   void connected(Time) override {}
-  void receive(Time now, std::string_view bytes, std::vector<Heard>& heard) override {
+  void receive(Time now, std::string_view bytes, std::vector<Heard>& client_events) override {
     std::vector<http2::Event> events;
     h2_.receive(now, bytes, events);
     for (auto& e : events) {
       using Type = http2::Event::Type;
-      up_ = up_ || e.type == Type::settings;
+      ready_ = ready_ || e.type == Type::settings;
       if (e.type == Type::unprocessed ||
           (e.type == Type::reset && e.code == http2::ErrorCode::refused_stream)) {
-        heard.push_back({Heard::What::not_taken, e.stream, "", "", 0});
+        client_events.push_back({Heard::What::not_taken, e.stream, "", "", 0});
       } else if (e.type == Type::headers || e.type == Type::reset) {
         const auto status =
             e.type == Type::headers ? http2::find_header(e.headers, ":status") : std::string_view("0");
-        const auto told = std::string(http2::find_header(e.headers, "retry-after"));
-        heard.push_back(
-            {Heard::What::answer, e.stream, "", std::string(status), std::atoll(told.c_str()) * 1'000'000});
+        const auto retry_after = std::string(http2::find_header(e.headers, "retry-after"));
+        client_events.push_back({Heard::What::answer, e.stream, "", std::string(status),
+                                 std::atoll(retry_after.c_str()) * 1'000'000});
       }
     }
   }
-  bool up() const override { return up_; }
+  bool up() const override { return ready_; }
   bool can_push() const override { return h2_.can_request(); }
   bool failed() const override { return h2_.failed(); }
   std::uint32_t push(Time, const Push& p) override {
@@ -53,7 +53,7 @@
  private:
   std::string authority_;
   http2::Connection h2_{http2::Role::client};
-  bool up_ = false;
+  bool ready_ = false;
 };
 
 class SmppClientWire final : public ClientWire {
@@ -63,21 +63,21 @@
   void connected(Time now) override {
     session_.bind(now, smpp::Command::bind_transceiver, {system_id_, password_, "", 0x34, {}});
   }
-  void receive(Time now, std::string_view bytes, std::vector<Heard>& heard) override {
+  void receive(Time now, std::string_view bytes, std::vector<Heard>& client_events) override {
     std::vector<smpp::Event> events;
     session_.receive(now, bytes, events);
     for (auto& e : events) {
       using Type = smpp::Event::Type;
       if (e.type == Type::response) {
-        response(e.pdu, heard);
+        response(e.pdu, client_events);
       } else if (e.type == Type::request) {
         const auto* m = std::get_if<smpp::Message>(&e.pdu.body);
-        if (const auto says = m == nullptr ? std::nullopt : sms::read_receipt(*m))
-          heard.push_back({Heard::What::receipt, 0, says->message_id,
-                           says->state == sms::kDelivered  ? "201"
-                           : says->state == sms::kRejected ? "503"
-                                                           : "504",
-                           says->come_back});
+        if (const auto report = m == nullptr ? std::nullopt : sms::read_receipt(*m))
+          client_events.push_back({Heard::What::receipt, 0, report->message_id,
+                                   report->state == sms::kDelivered  ? "201"
+                                   : report->state == sms::kRejected ? "503"
+                                                                     : "504",
+                                   report->come_back});
         session_.respond(e.pdu, smpp::status::ok, smpp::MessageResp{});
       }
     }
@@ -112,17 +112,17 @@
     s.window = 1000, s.peer_window = 10'000;
     return s;
   }
-  static void response(const smpp::Pdu& pdu, std::vector<Heard>& heard) {
+  static void response(const smpp::Pdu& pdu, std::vector<Heard>& client_events) {
     if (pdu.command != smpp::Command::submit_sm_resp && pdu.command != smpp::Command::generic_nack) return;
     const auto* body = std::get_if<smpp::MessageResp>(&pdu.body);
     if (pdu.status == smpp::status::ok && body != nullptr) {
-      heard.push_back({Heard::What::taken, pdu.sequence, body->message_id, "", 0});
+      client_events.push_back({Heard::What::taken, pdu.sequence, body->message_id, "", 0});
       return;
     }
     const auto wait = body == nullptr ? std::nullopt : smpp::number(body->tlvs, sms::own::wait);
-    const bool room = pdu.status == smpp::status::throttled || pdu.status == smpp::status::queue_full;
-    heard.push_back({Heard::What::answer, pdu.sequence, "", room ? "503" : "400",
-                     static_cast<Time>(wait.value_or(0)) * 1'000'000});
+    const bool busy = pdu.status == smpp::status::throttled || pdu.status == smpp::status::queue_full;
+    client_events.push_back({Heard::What::answer, pdu.sequence, "", busy ? "503" : "400",
+                             static_cast<Time>(wait.value_or(0)) * 1'000'000});
   }
   std::string system_id_, password_;
   smpp::Session session_;
--- a/rig/client_wire.hpp
+++ b/rig/client_wire.hpp
@@ -37,7 +37,7 @@
   virtual ~ClientWire() = default;
   // The socket is connected: starts the protocol's handshake.
   virtual void connected(Time now) = 0;
-  virtual void receive(Time now, std::string_view bytes, std::vector<Heard>& heard) = 0;
+  virtual void receive(Time now, std::string_view bytes, std::vector<Heard>& client_events) = 0;
   virtual bool up() const = 0;        // the handshake is done
   virtual bool can_push() const = 0;  // one more push is within the peer's limits
   virtual bool failed() const = 0;    // the connection can't be used any more
--- a/rig/drill.cpp
+++ b/rig/drill.cpp
@@ -293,11 +293,11 @@
       effects << e.at << ' ' << e.endpoint << ' ' << e.destination << ' ' << e.message << ' ' << e.key
               << '\n';
   }
-  const auto facts = script_->facts();
-  const auto observed = observe(std::move(records_), facts.unseen_503);
+  const auto input = script_->facts();
+  const auto observed = observe(std::move(records_), input.unseen_503);
   result.calls = observed.calls.size();
   for (const auto& c : observed.calls) result.refused_calls += c.status == "429" || c.status == "503";
-  result.verdict = check_rules(facts, observed, effects_);
+  result.verdict = check_rules(input, observed, effects_);
   return result;
 }
 
--- a/rig/kills.cpp
+++ b/rig/kills.cpp
@@ -173,9 +173,9 @@
   }
 
   void receive(std::string_view bytes) {
-    std::vector<Heard> heard;
-    wire_->receive(loop_.now(), bytes, heard);
-    for (const auto& h : heard) {
+    std::vector<Heard> events;
+    wire_->receive(loop_.now(), bytes, events);
+    for (const auto& h : events) {
       const auto it = by_stream_.find(h.stream);
       if (it == by_stream_.end()) continue;
       Message& m = *it->second;
--- a/rig/load.cpp
+++ b/rig/load.cpp
@@ -5,8 +5,8 @@
 namespace cedarplank::rig {
 namespace {
 
-constexpr Time kReconnectDelay = 150'000, kConnectTimeout = 1'000'000, kLeastSendInterval = 2'000;
-constexpr Time kReceiptGrace = 5'000'000;  // how long after a message's time to live its receipt may come
+constexpr Time kReconnectDelay = 150'000, kConnectTimeout = 1'000'000, kLeastSendInterval = 2'000,
+               kReceiptGrace = 5'000'000;  // how long after a message's time to live its receipt may come
 
 }  // namespace
 
@@ -124,10 +124,10 @@
   Link& l = links_[index];
   if (l.id != id) return;
   if (l.tap) l.tap->pass(loop_.now(), false, bytes);
-  std::vector<Heard> heard;
-  l.wire->receive(loop_.now(), bytes, heard);
+  std::vector<Heard> events;
+  l.wire->receive(loop_.now(), bytes, events);
   l.up = l.wire->up();
-  for (const auto& h : heard) on_heard(l, h);
+  for (const auto& h : events) on_heard(l, h);
   flush(l);
   if (l.wire->failed()) {
     l.stream->close();
--- a/rig/script.cpp
+++ b/rig/script.cpp
@@ -26,11 +26,11 @@
 void Script::add_place(std::size_t d, const std::string& endpoint, int kind) {
   const auto& settings = s_.destinations[d].settings;
   endpoints_[d].push_back(endpoint);
-  const std::string place = settings.routes_apart ? endpoint : settings.name;
-  facts_.place_of[endpoint] = place;
+  const std::string domain = settings.routes_apart ? endpoint : settings.name;
+  facts_.place_of[endpoint] = domain;
   const auto k = static_cast<std::size_t>(kind);
   facts_.unseen_503[endpoint] = k < relay_.kind_wire.size() && relay_.kind_wire[k].unseen_503;
-  auto& p = facts_.places[place];
+  auto& p = facts_.places[domain];
   const auto& m = settings.place;
   p.capacity = static_cast<double>(m.servers) / (static_cast<double>(m.service) * 1e-6);
   p.cold_from = m.cold_from, p.fall_multiple = m.fall_multiple, p.cold = m.cold,
@@ -79,12 +79,12 @@
 }
 
 void Script::outage(const std::string& endpoint, bool begins) {
-  const std::string place = facts_.place_of[endpoint];
-  int& n = out_count_[place];
+  const std::string domain = facts_.place_of[endpoint];
+  int& n = out_count_[domain];
   if (begins) {
-    if (n++ == 0) out_since_[place] = stage_.now();
+    if (n++ == 0) out_since_[domain] = stage_.now();
   } else if (n > 0 && --n == 0) {
-    facts_.places[place].outages.emplace_back(out_since_[place], stage_.now());
+    facts_.places[domain].outages.emplace_back(out_since_[domain], stage_.now());
   }
 }
 
--- a/rig/script.hpp
+++ b/rig/script.hpp
@@ -72,8 +72,8 @@
   Time list_late_ = 0;
   Facts facts_;
   std::vector<std::string> pending_told_;  // drained or removed endpoints that no readable list shows yet
-  std::map<std::string, Time> out_since_;  // by place: start of its present outage
-  std::map<std::string, int> out_count_;   // by place: faults now that count as an outage
+  std::map<std::string, Time> out_since_;  // by capacity domain: start of its present outage
+  std::map<std::string, int> out_count_;   // by capacity domain: faults now that count as an outage
   // By trouble of kind `fault`: the endpoints at which it was begun, and is to be ended.
   std::map<const Trouble*, std::vector<std::string>> struck_;
 };
--- a/standin/server.cpp
+++ b/standin/server.cpp
@@ -173,9 +173,9 @@
 }
 
 void Endpoint::carry_out(Peer& p, const Arrived& call, const emulator::Plan& plan) {
-  using Do = emulator::Plan::Do;
-  if (plan.what == Do::turn_back) return p.wire->turn_back(call.stream);
-  if (plan.what == Do::go_away) {
+  using Kind = emulator::Plan::Do;
+  if (plan.what == Kind::turn_back) return p.wire->turn_back(call.stream);
+  if (plan.what == Kind::go_away) {
     // This call and all later ones are refused; earlier calls are finished.
     p.went_away = true, p.last_taken = call.stream - 1;
     return p.wire->go_away(call.stream);
@@ -183,8 +183,8 @@
   const auto finish = [this, id = p.id, call, plan] {
     // An accepted call takes effect whether or not its caller still waits.
     if (plan.runs) destination_.take_effect(loop_.now(), settings_.id, call.message, call.key);
-    if (plan.what == Do::lose) return drop(id, true);
-    if (plan.what == Do::answer) respond(id, call.stream, plan.status, plan.wait);
+    if (plan.what == Kind::lose) return drop(id, true);
+    if (plan.what == Kind::answer) respond(id, call.stream, plan.status, plan.wait);
   };
   if (plan.at <= loop_.now()) return finish();
   loop_.after(plan.at - loop_.now(), [alive = alive_, finish] {
--- a/tests/burst_test.cpp
+++ b/tests/burst_test.cpp
@@ -46,26 +46,26 @@
     client->start();
   }
   // Checks the rules. The node must have been destroyed before, so that all frames are recorded.
-  rig::Verdict verdict(const std::map<std::string, std::vector<std::pair<Time, Time>>>& outages = {}) {
-    rig::Facts facts;
+  rig::Verdict check_rules(const std::map<std::string, std::vector<std::pair<Time, Time>>>& outages = {}) {
+    rig::Facts input;
     for (const auto& c : load.classes)
-      facts.classes[c.name] = {.effect = c.effect, .deadline = c.deadline, .ordered = c.ordered};
+      input.classes[c.name] = {.effect = c.effect, .deadline = c.deadline, .ordered = c.ordered};
     for (const auto& d : s.destinations) {
       const auto& name = d->settings().name;
-      for (const auto& e : d->endpoints()) facts.place_of[e->id()] = name;
+      for (const auto& e : d->endpoints()) input.place_of[e->id()] = name;
       const auto& p = d->settings().place;
-      facts.places[name].capacity = p.servers / (static_cast<double>(p.service) * 1e-6);
-      facts.places[name].cold = p.cold, facts.places[name].cold_from = p.cold_from;
-      facts.places[name].fall_multiple = p.fall_multiple, facts.places[name].overload_for = p.overload_for;
-      if (outages.count(name) > 0) facts.places[name].outages = outages.at(name);
+      input.places[name].capacity = p.servers / (static_cast<double>(p.service) * 1e-6);
+      input.places[name].cold = p.cold, input.places[name].cold_from = p.cold_from;
+      input.places[name].fall_multiple = p.fall_multiple, input.places[name].overload_for = p.overload_for;
+      if (outages.count(name) > 0) input.places[name].outages = outages.at(name);
     }
     // Allows for sanitizers, which slow down everything in this process; the limits of the rules stay as they
     // are.
-    facts.slack = 1 * kS, facts.answer_slack = s.settings.dispatcher.answer_slack;
-    facts.settle_after_doubt = s.settings.dispatcher.settle_after_doubt;
+    input.slack = 1 * kS, input.answer_slack = s.settings.dispatcher.answer_slack;
+    input.settle_after_doubt = s.settings.dispatcher.settle_after_doubt;
     auto all = records;
     all.insert(all.end(), s.frames.begin(), s.frames.end());
-    return rig::check_rules(facts, std::move(all), s.effects);
+    return rig::check_rules(input, std::move(all), s.effects);
   }
   std::uint64_t finals() const {
     std::uint64_t n = 0;
@@ -134,11 +134,11 @@
     EXPECT_EQ(other.closed, seed % 2 == 1) << "only floods of resets cost a client its connection";
     turn(b.s.loop, [&] { return b.s.node->core().held() == 0 && b.s.node->core().slots_used() == 0; });
     b.s.node.reset();
-    const auto verdict = b.verdict();
-    EXPECT_TRUE(verdict.kept()) << rig::table_of(verdict);
-    EXPECT_GT(verdict.rules[0].checked, 9'900u);
-    EXPECT_GT(verdict.rules[1].checked, 3'000u);
-    EXPECT_GT(verdict.rules[4].checked, 100u);
+    const auto check = b.check_rules();
+    EXPECT_TRUE(check.kept()) << rig::table_of(check);
+    EXPECT_GT(check.rules[0].checked, 9'900u);
+    EXPECT_GT(check.rules[1].checked, 3'000u);
+    EXPECT_GT(check.rules[4].checked, 100u);
   }
 }
 
@@ -175,8 +175,8 @@
   EXPECT_EQ(b.finals(), 2'000u);
   EXPECT_GE(b.sum(&rig::LoadBook::Tally::served), 1'980u);
   b.s.node.reset();
-  const auto verdict = b.verdict();
-  EXPECT_TRUE(verdict.kept()) << rig::table_of(verdict);
+  const auto check = b.check_rules();
+  EXPECT_TRUE(check.kept()) << rig::table_of(check);
 }
 
 // 10,000 messages wait for one destination that never answers. Each gets its final answer by its deadline,
@@ -208,15 +208,15 @@
   for (const auto id : ids) near_served += near.status(id) == "201";
   EXPECT_EQ(near_served, ids.size());
   b.s.node.reset();
-  const auto verdict = b.verdict();
-  EXPECT_TRUE(verdict.kept()) << rig::table_of(verdict);
+  const auto check = b.check_rules();
+  EXPECT_TRUE(check.kept()) << rig::table_of(check);
 }
 
 // A partner goes down, 5,000 messages of an unsafe class wait for it, and it comes back cold.
 struct ColdReturn {
   std::uint64_t finals = 0, served = 0;
   int falls = 0;
-  rig::Verdict verdict;
+  rig::Verdict check;
 };
 ColdReturn cold_return(const node::Node::DeciderMaker& decider) {
   Burst b(9);
@@ -249,7 +249,7 @@
   r.finals = b.finals(), r.served = b.sum(&rig::LoadBook::Tally::served);
   r.falls = falls();
   b.s.node.reset();
-  r.verdict = b.verdict({{"d1", {{from, to}}}});
+  r.check = b.check_rules({{"d1", {{from, to}}}});
   return r;
 }
 
@@ -261,8 +261,8 @@
   // Calls that were open when it went down may have run, so their messages fail; hardly any others do.
   EXPECT_GE(r.served, 7'800u);
   EXPECT_EQ(r.falls, 0);
-  EXPECT_EQ(r.verdict.rules[3].checked, 1u);
-  EXPECT_TRUE(r.verdict.kept()) << rig::table_of(r.verdict);
+  EXPECT_EQ(r.check.rules[3].checked, 1u);
+  EXPECT_TRUE(r.check.kept()) << rig::table_of(r.check);
 }
 
 // The same with plain retries and no protection of the cold destination: shows that the test above can fail.
@@ -271,7 +271,7 @@
     return lab::make_decider(lab::Policy::fixed, settings, seed);
   });
   EXPECT_GT(r.falls, 0);
-  EXPECT_FALSE(r.verdict.rules[3].broken.empty());
+  EXPECT_FALSE(r.check.rules[3].broken.empty());
 }
 
 // One tenant of three sends six times its share all the time, more than the partners can serve. The other
@@ -312,8 +312,8 @@
   EXPECT_GT(share("c"), 0.95);
   const auto not_taken = b.s.node->core().counts().not_taken;
   b.s.node.reset();
-  const auto verdict = b.verdict();
-  EXPECT_TRUE(verdict.kept()) << rig::table_of(verdict);
+  const auto check = b.check_rules();
+  EXPECT_TRUE(check.kept()) << rig::table_of(check);
   return not_taken;
 }
 
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -17,25 +17,25 @@
 
 // A short recording: pushes by a client to relay r, and calls by the relay at endpoints.
 struct Recording {
-  Facts facts;
+  Facts input;
   std::vector<Record> records;
   std::vector<standin::Effect> effects;
   std::uint32_t streams = 1;
   std::map<std::string, std::uint32_t> pushes, calls;
 
   Recording() {
-    facts.classes = {{"safe", {Effect::safe, 6 * kS, false}},
+    input.classes = {{"safe", {Effect::safe, 6 * kS, false}},
                      {"pay", {Effect::unsafe, 6 * kS, false}},
                      {"note", {Effect::keyed, 6 * kS, false}},
                      {"gate", {Effect::keyed, 6 * kS, true}}};
-    facts.place_of = {{"e1", "d"}, {"e2", "d"}};
-    facts.places["d"] = {.capacity = 10,
+    input.place_of = {{"e1", "d"}, {"e2", "d"}};
+    input.places["d"] = {.capacity = 10,
                          .cold_from = 0.2,
                          .fall_multiple = 2,
                          .cold = 5 * kS,
                          .overload_for = 2 * kS,
                          .outages = {}};
-    facts.drain_grace = 1 * kS;
+    input.drain_grace = 1 * kS;
   }
   Record& add(Time at, Record::Side side, const std::string& place, bool sent, const char* what,
               std::uint32_t stream) {
@@ -76,9 +76,9 @@
   // The numbers of the broken rules, as digits.
   std::string broken() const {
     std::string rules;
-    const auto verdict = check_rules(facts, records, effects);
+    const auto result = check_rules(input, records, effects);
     for (int i = 0; i < 6; i++)
-      if (!verdict.rules[i].broken.empty()) rules += static_cast<char>('1' + i);
+      if (!result.rules[i].broken.empty()) rules += static_cast<char>('1' + i);
     return rules;
   }
 };
@@ -88,17 +88,17 @@
   for (int i = 0; i < 20; i++)
     d.served(i * 200 * kMs, "m-" + std::to_string(i) + ".0", i % 2 ? "pay" : "safe");
   EXPECT_EQ(d.broken(), "");
-  EXPECT_EQ(check_rules(d.facts, d.records, d.effects).rules[0].checked, 20u);
+  EXPECT_EQ(check_rules(d.input, d.records, d.effects).rules[0].checked, 20u);
 }
 TEST(Checker, Rule1NoAnswer) {
   Recording d;
   d.push(0, "m-1.0", "safe");
   EXPECT_EQ(d.broken(), "1");
-  d.facts.lives.push_back({"r", 0, 3 * kS});  // messages that a killed relay held are the client's concern
+  d.input.lives.push_back({"r", 0, 3 * kS});  // messages that a killed relay held are the client's concern
   EXPECT_EQ(d.broken(), "");
   Recording dead;  // pushed to a relay that was dead already, before its client noticed
   dead.push(kS, "m-1.0", "safe");
-  dead.facts.lives.push_back({"r", 0, kS - 20 * kMs});
+  dead.input.lives.push_back({"r", 0, kS - 20 * kMs});
   EXPECT_EQ(dead.broken(), "");
 }
 // A GOAWAY also proves that calls sent before the relay read it did not run.
@@ -116,14 +116,14 @@
   Recording late;
   late.push(0, "m-1.0", "safe"), late.answer(6'300 * kMs, "m-1.0", "503");
   EXPECT_EQ(late.broken(), "1");
-  late.facts.stalls.push_back({"r", 5 * kS, 6'290 * kMs});  // a stopped relay is not running
+  late.input.stalls.push_back({"r", 5 * kS, 6'290 * kMs});  // a stopped relay is not running
   EXPECT_EQ(late.broken(), "");
   // A message that arrives while the relay is stopped is accepted, and its time starts, when the relay
   // continues.
   Recording stopped;
   stopped.push(0, "m-1.0", "safe"), stopped.answer(7 * kS, "m-1.0", "503");
   EXPECT_EQ(stopped.broken(), "1");
-  stopped.facts.stalls.push_back({"r", -100 * kMs, kS});
+  stopped.input.stalls.push_back({"r", -100 * kMs, kS});
   EXPECT_EQ(stopped.broken(), "");
   Recording twice;
   twice.served(0, "m-1.0", "safe"), twice.answer(kS, "m-1.0", "503");
@@ -166,7 +166,7 @@
 }
 TEST(Checker, Rule3Drains) {
   Recording d;
-  d.facts.told = {{"e1", 1 * kS}};
+  d.input.told = {{"e1", 1 * kS}};
   d.served(2 * kS, "m-1.0", "safe");
   EXPECT_EQ(d.broken(), "");  // within reread and grace
   d.served(3 * kS, "m-2.0", "safe");
@@ -175,7 +175,7 @@
 TEST(Checker, Rule4PushOver) {
   const auto broken_rules = [](bool knew) {
     Recording d;
-    d.facts.places["d"].outages = {{kS, 3 * kS}};
+    d.input.places["d"].outages = {{kS, 3 * kS}};
     if (knew) {
       d.push(2 * kS, "m-0.0", "safe"), d.call(2 * kS, "m-0.0", "e1");
       d.add(2'500 * kMs, Record::Side::endpoint, "e1", false, "RST_STREAM", d.calls["m-0.0e1"]),
@@ -195,7 +195,7 @@
   overlap.served(0, "m-1.0", "gate", "t"), overlap.served(20 * kMs, "m-2.0", "gate", "t");
   EXPECT_EQ(overlap.broken(), "5");
   Recording doubt;  // given up at 100 ms: the order key is blocked for settle_after_doubt
-  doubt.facts.settle_after_doubt = kS;
+  doubt.input.settle_after_doubt = kS;
   doubt.push(0, "m-1.0", "gate", "t"), doubt.call(10 * kMs, "m-1.0", "e1");
   doubt.add(100 * kMs, Record::Side::endpoint, "e1", false, "RST_STREAM", doubt.calls["m-1.0e1"]),
       doubt.answer(100 * kMs, "m-1.0", "504");
