--- a/rig/checker.cpp
+++ b/rig/checker.cpp
@@ -135,14 +135,14 @@
 
 // Rule 3: no new call goes to an endpoint once the drain grace after the relay was notified has passed.
 void Checker::drains() {
-  std::map<std::string, Time> told;
+  std::map<std::string, Time> notified_at;
   for (const auto& t : input.told) {
-    const auto [it, fresh] = told.emplace(t.endpoint, t.at);
+    const auto [it, fresh] = notified_at.emplace(t.endpoint, t.at);
     if (!fresh) it->second = std::min(it->second, t.at);
   }
   for (const auto& c : calls) {
-    const auto it = told.find(c.endpoint);
-    if (it == told.end()) continue;
+    const auto it = notified_at.find(c.endpoint);
+    if (it == notified_at.end()) continue;
     checked(3)++;
     const Time last = after_stalls(c.relay, it->second + input.reread) + input.drain_grace + input.slack;
     if (c.at > last)
@@ -258,15 +258,15 @@
   std::map<std::pair<std::string, std::string>, std::vector<const Call*>> by_domain;
   for (const auto& c : calls) by_domain[{c.relay, domain_of(c.endpoint)}].push_back(&c);
   for (auto& [name, all] : by_domain) {
-    for (const auto* told : all) {
-      if (told->told_wait <= 0 || told->given_up_at < told->answered_at) continue;
+    for (const auto* refusal : all) {
+      if (refusal->told_wait <= 0 || refusal->given_up_at < refusal->answered_at) continue;
       checked(6)++;
-      const Time from = after_stalls(name.first, told->answered_at) + input.slack,
-                 to = told->answered_at + told->told_wait;
+      const Time from = after_stalls(name.first, refusal->answered_at) + input.slack,
+                 to = refusal->answered_at + refusal->told_wait;
       const auto first =
           std::upper_bound(all.begin(), all.end(), from, [](Time t, const Call* c) { return t < c->at; });
       if (first == all.end() || (*first)->at >= to) continue;
-      if (died_between(name.first, told->answered_at, (*first)->at)) continue;
+      if (died_between(name.first, refusal->answered_at, (*first)->at)) continue;
       violated(6, fmt::format("{} sent {} to {} {} ms before the end of a told wait", name.first,
                               (*first)->message, (*first)->endpoint, (to - (*first)->at) / 1000));
     }
--- a/rig/checker.hpp
+++ b/rig/checker.hpp
@@ -37,7 +37,7 @@
     Time at = 0;
   };
   std::map<std::string, Class> classes;
-  std::map<std::string, std::string> place_of;  // by endpoint: the key into `places`
+  std::map<std::string, std::string> place_of;  // by endpoint: the name of its capacity domain
   std::map<std::string, Place> places;
   std::map<std::string, bool> unseen_503;  // by endpoint: whether a 503 proves that the call did not run
   std::vector<Told> told;
--- a/rig/drill.hpp
+++ b/rig/drill.hpp
@@ -20,7 +20,8 @@
   Verdict verdict;
   std::vector<std::string> class_names;
   std::vector<LoadBook::Tally> tallies;  // by class
-  // `doubled`: second final answers; `falls`: times that a destination was overloaded while cold.
+  // Second final answers; messages without one; effects; overloads of cold destinations; calls; refused
+  // calls.
   std::uint64_t doubled = 0, unanswered = 0, effects = 0, falls = 0, calls = 0, refused_calls = 0;
   bool relays_ended_well = true;  // each drained on SIGTERM with exit code 0
   double took_s = 0;
--- a/rig/load_book.cpp
+++ b/rig/load_book.cpp
@@ -69,7 +69,7 @@
 
 Time LoadBook::ttl(const Message& m, Time now) const {
   // The time left of the message's deadline, rounded down; the first request states the class's whole
-  // deadline.
+  // deadline, rounded up.
   const Time left = m.first_at + settings_.classes[m.cls].deadline - now;
   return std::max<Time>(0, m.tries == 0 ? (left + 999'999) / 1'000'000 : left / 1'000'000) * 1'000'000;
 }
--- a/rig/scenario.hpp
+++ b/rig/scenario.hpp
@@ -40,7 +40,7 @@
 struct Scenario {
   std::string file;
   std::uint64_t seed = 1;
-  Time lasts = 60'000'000, settle = 30'000'000;
+  Time lasts = 60'000'000, settle = 30'000'000;  // `settle`: longest wait for the last answers after that
   int relays = 3;
   std::string relay_file;  // template for the relays' settings
   LoadSettings load;
--- a/rig/script.hpp
+++ b/rig/script.hpp
@@ -30,7 +30,7 @@
   virtual Time relay_started(int relay) = 0;
   virtual void crash(int relay) = 0;
   virtual void start(int relay) = 0;
-  virtual void stall(int relay) = 0;  // stops the relay until go_on()
+  virtual void stall(int relay) = 0;  // the relay does nothing until it is resumed
   virtual void go_on(int relay) = 0;
   virtual void set_notes_lost(double share) = 0;  // share of the datagrams between relays that is lost
 };
--- a/standin/settings.cpp
+++ b/standin/settings.cpp
@@ -73,7 +73,7 @@
       const std::string base = v.at("name").text();
       one.settings.name = count == 1 ? base : base + "-" + std::to_string(i);
       if (std::find(names.begin(), names.end(), one.settings.name) != names.end())
-        v.at("name").fail("destination '" + one.settings.name + "' is there twice");
+        v.at("name").fail("destination '" + one.settings.name + "' is defined twice");
       names.push_back(one.settings.name);
       const auto add = [&](const std::string& id, const std::string& address, const std::string& zone) {
         EndpointSettings e;
