--- a/rig/observed.hpp
+++ b/rig/observed.hpp
@@ -17,7 +17,7 @@
 // One request: a push of a message by a client to a relay. A message that is tried again has several.
 struct Try {
   std::string relay, message, cls, destination, topic, key;
-  Time sent_at = 0, whole_at = kNever, ttl = 0;  // `whole_at`: its last byte was sent
+  Time sent_at = 0, whole_at = kNever, ttl = 0;  // first byte sent; last byte sent
   Time answered_at = kNever, reset_at = kNever, closed_at = kNever;
   std::string status;
   int answers = 0;
