--- a/rig/client_wire.cpp
+++ b/rig/client_wire.cpp
@@ -9,9 +9,9 @@
 namespace cedarplank::rig {
 namespace {
 
-class Http2ClientWire final : public ClientWire {
+class Http2ClientProtocol final : public ClientWire {
  public:
-  explicit Http2ClientWire(const std::string& authority) : authority_(authority) {}
+  explicit Http2ClientProtocol(const std::string& authority) : authority_(authority) {}
   void connected(Time) override {}
   void receive(Time now, std::string_view bytes, std::vector<Heard>& client_events) override {
     std::vector<http2::Event> events;
@@ -56,9 +56,9 @@
   bool ready_ = false;
 };
 
-class SmppClientWire final : public ClientWire {
+class SmppClientProtocol final : public ClientWire {
  public:
-  SmppClientWire(Time now, const std::string& system_id, const std::string& password)
+  SmppClientProtocol(Time now, const std::string& system_id, const std::string& password)
       : system_id_(system_id), password_(password), session_(smpp::Role::esme, settings(), now) {}
   void connected(Time now) override {
     session_.bind(now, smpp::Command::bind_transceiver, {system_id_, password_, "", 0x34, {}});
@@ -131,11 +131,11 @@
 }  // namespace
 
 std::unique_ptr<ClientWire> http2_client_wire(const std::string& authority) {
-  return std::make_unique<Http2ClientWire>(authority);
+  return std::make_unique<Http2ClientProtocol>(authority);
 }
 std::unique_ptr<ClientWire> smpp_client_wire(Time now, const std::string& system_id,
                                              const std::string& password) {
-  return std::make_unique<SmppClientWire>(now, system_id, password);
+  return std::make_unique<SmppClientProtocol>(now, system_id, password);
 }
 
 }  // namespace cedarplank::rig
--- a/rig/kills.cpp
+++ b/rig/kills.cpp
@@ -69,7 +69,7 @@
       while (relay_->running()) loop_.run_once(kMs);
       // Reads what is still in the sockets: the relay sent it before the kill.
       for (int i = 0; i < 3; i++) loop_.run_once(0);
-      stream_.reset(), wire_.reset();
+      stream_.reset(), protocol_.reset();
       loop_.refresh();
       result_.kills++, killed_at_.push_back(loop_.now());
       if (!options_.quiet && result_.kills % 100 == 0)
@@ -154,17 +154,17 @@
 
   void connect(const std::string& address) {
     address_ = address;
-    wire_ = http2_client_wire("relay");
+    protocol_ = http2_client_wire("relay");
     stream_ = std::make_unique<net::TcpStream>(
         loop_, net::Address::parse(address), 5 * kS,
-        net::Stream::Handlers{.connected = [this] { wire_->connected(loop_.now()), flush(); },
+        net::Stream::Handlers{.connected = [this] { protocol_->connected(loop_.now()), flush(); },
                               .data = [this](std::string_view bytes) { receive(bytes); },
                               .drained = {},
                               .closed = [this](const std::string&) { forget_streams(); }});
   }
   void flush() {
-    if (!stream_ || !wire_) return;
-    auto out = wire_->take_output();
+    if (!stream_ || !protocol_) return;
+    auto out = protocol_->take_output();
     if (!out.empty()) stream_->write(std::move(out));
   }
   void forget_streams() {
@@ -174,7 +174,7 @@
 
   void receive(std::string_view bytes) {
     std::vector<Heard> events;
-    wire_->receive(loop_.now(), bytes, events);
+    protocol_->receive(loop_.now(), bytes, events);
     for (const auto& h : events) {
       const auto it = by_stream_.find(h.stream);
       if (it == by_stream_.end()) continue;
@@ -202,13 +202,13 @@
 
   void run_step() {
     const Time now = loop_.refresh();
-    if (stream_ && wire_ && wire_->up()) {
+    if (stream_ && protocol_ && protocol_->up()) {
       for (auto& m : messages_) {
-        if (!m->final.empty() || m->stream != 0 || m->not_before > now || !wire_->can_push()) continue;
+        if (!m->final.empty() || m->stream != 0 || m->not_before > now || !protocol_->can_push()) continue;
         result_.asked_again++;
         push(*m);
       }
-      while (sending_ && unanswered_ < options_.outstanding && wire_->can_push()) {
+      while (sending_ && unanswered_ < options_.outstanding && protocol_->can_push()) {
         auto m = std::make_unique<Message>();
         const auto kind = below(4);
         m->id = "m" + std::to_string(result_.messages++);
@@ -240,7 +240,7 @@
     p.path = "/push/" + m.destination + "/" + m.message_class;
     p.destination = m.destination, p.message_class = m.message_class, p.key = m.id;
     p.body = "id=" + m.id + ";class=" + m.message_class + ";", p.ttl = kTtl;
-    m.stream = wire_->push(loop_.now(), p);
+    m.stream = protocol_->push(loop_.now(), p);
     by_stream_[m.stream] = &m;
   }
 
@@ -336,7 +336,7 @@
   bool own_folder_ = false, sending_ = true;
   std::vector<std::unique_ptr<standin::Destination>> destinations_;
   std::unique_ptr<Process> relay_;
-  std::unique_ptr<ClientWire> wire_;
+  std::unique_ptr<ClientWire> protocol_;
   std::unique_ptr<net::Stream> stream_;
   std::vector<std::unique_ptr<Message>> messages_, done_;
   std::map<std::string, Message*> by_id_;
--- a/standin/http2_wire.cpp
+++ b/standin/http2_wire.cpp
@@ -7,9 +7,9 @@
 namespace cedarplank::standin {
 namespace {
 
-class Http2Wire final : public Wire {
+class Http2ServerProtocol final : public Wire {
  public:
-  explicit Http2Wire(const WireSettings& settings)
+  explicit Http2ServerProtocol(const WireSettings& settings)
       : endpoint_(settings.endpoint), h2_(http2::Role::server, local_settings(settings.streams)) {}
 
   void receive(Time now, std::string_view bytes, std::vector<Arrived>& calls) override {
@@ -73,6 +73,6 @@
 
 }  // namespace
 
-std::unique_ptr<Wire> http2_wire(const WireSettings& s) { return std::make_unique<Http2Wire>(s); }
+std::unique_ptr<Wire> http2_wire(const WireSettings& s) { return std::make_unique<Http2ServerProtocol>(s); }
 
 }  // namespace cedarplank::standin
--- a/standin/smsc_wire.cpp
+++ b/standin/smsc_wire.cpp
@@ -16,9 +16,9 @@
 using emulator::Fault;
 constexpr std::uint16_t kKey = 0x1401, kWait = 0x1403;  // vendor TLV tags, see docs/operate/smpp.md
 
-class SmscWire final : public Wire {
+class SmscProtocol final : public Wire {
  public:
-  explicit SmscWire(const WireSettings& s)
+  explicit SmscProtocol(const WireSettings& s)
       : s_(s), max_open_(s.streams), random_(s.seed), session_(smpp::Role::smsc, settings(), 0) {}
 
   void receive(Time now, std::string_view bytes, std::vector<Arrived>& calls) override {
@@ -165,6 +165,6 @@
 
 }  // namespace
 
-std::unique_ptr<Wire> smsc_wire(const WireSettings& s) { return std::make_unique<SmscWire>(s); }
+std::unique_ptr<Wire> smsc_wire(const WireSettings& s) { return std::make_unique<SmscProtocol>(s); }
 
 }  // namespace cedarplank::standin
