--- a/src/config/relay_settings.hpp
+++ b/src/config/relay_settings.hpp
@@ -17,25 +17,25 @@
 };
 
 // How endpoints of a kind are called by SMPP (docs/operate/smpp.md).
-struct SmppBack {
-  enum class Long { udh, sar, payload };  // how a message too long for one PDU is sent
+struct SmppEndpointSettings {
+  enum class LongMessageMode { udh, sar, payload };  // how a message too long for one PDU is sent
   std::string system_id, password, system_type;
   bool transceiver = false;       // bind as transceiver, else as transmitter
   std::string sender, recipient;  // for messages that name none
-  Long long_messages = Long::udh;
+  LongMessageMode long_messages = LongMessageMode::udh;
   int window = 50;             // outstanding submits on one bind
   Time response = 30'000'000;  // a submit without a response after this time counts as lost
   bool own_tags = false;       // the partner supports this program's own parameters: keys, topics, waits
   std::vector<std::uint32_t> unseen;  // further statuses that prove that the message was not processed
   std::map<std::string, std::string> service_types;  // by message class
-  bool operator==(const SmppBack&) const = default;
+  bool operator==(const SmppEndpointSettings&) const = default;
 };
 
 // The protocol of a kind of destination, and what its answers mean beyond the protocol's definition.
-struct KindWire {
+struct KindProtocol {
   bool unseen_503 = false;  // a 503 comes before the message is read, so it proves that nothing was processed
-  std::optional<SmppBack> smpp = {};  // if not set: HTTP/2
-  bool operator==(const KindWire&) const = default;
+  std::optional<SmppEndpointSettings> smpp = {};  // if not set: HTTP/2
+  bool operator==(const KindProtocol&) const = default;
 };
 
 // A client of the SMPP server; to it the relay is the message centre (SMSC).
@@ -58,7 +58,7 @@
   bool operator==(const SmppRoute&) const = default;
 };
 // The SMPP server.
-struct SmppFront {
+struct SmppServerSettings {
   std::string listen;
   std::string system_id = "cedarplank";
   std::vector<SmppClient> clients;
@@ -73,7 +73,7 @@
   int receipts_max = 100'000;  // kept for clients that are not bound, all clients together
   Time receipts_for = 3'600'000'000;
   int scheduled_max = 10'000;  // messages waiting for their schedule_delivery_time
-  bool operator==(const SmppFront&) const = default;
+  bool operator==(const SmppServerSettings&) const = default;
 };
 
 // The journal: where a relay stores what it needs after a crash.
@@ -125,9 +125,9 @@
   int trace_sample = 100;    // one in this many messages without trouble is traced; 0: none of them
   int trace_steps = 32;      // recorded steps in one trace
   double trace_per_s = 200;  // traces written per second
-  std::vector<std::string> trace_watch;  // destinations whose messages are all traced
-  std::vector<KindWire> kind_wire;       // by kind
-  std::optional<SmppFront> smpp;
+  std::vector<std::string> trace_watch;      // destinations whose messages are all traced
+  std::vector<KindProtocol> kind_protocols;  // by kind
+  std::optional<SmppServerSettings> smpp;
   std::optional<JournalSettings> journal;
   Names names;
   Settings dispatcher;
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -60,11 +60,11 @@
 
 }  // namespace
 
-struct Engine::Impl : std::enable_shared_from_this<Engine::Impl>, relay::Answers {
-  Impl(config::RelaySettings s, Options o, node::Node::DeciderMaker d)
+struct Engine::Impl : std::enable_shared_from_this<Engine::Impl>, relay::AnswerSink {
+  Impl(config::RelaySettings s, Options o, node::Node::DeciderFactory d)
       : settings(std::move(s)),
         options(std::move(o)),
-        decider(std::move(d)),
+        decider_factory(std::move(d)),
         intake(settings),
         pid(getpid()) {
     if (options.held_max == 0) options.held_max = static_cast<std::size_t>(settings.dispatcher.open_max);
@@ -78,8 +78,8 @@
 
   config::RelaySettings settings;
   Options options;
-  node::Node::DeciderMaker decider;
-  const relay::Intake intake;
+  node::Node::DeciderFactory decider_factory;
+  const relay::RequestValidator intake;
   const pid_t pid;
 
   // ---- Shared between threads. ----
@@ -89,20 +89,20 @@
   // submit() in progress.
   std::atomic<std::size_t> held{0}, unread{0}, submitting{0};
   // A wake-up is posted to the loop; the completion descriptor is readable.
-  std::atomic<bool> woken{false}, ready_marked{false};
-  moodycamel::ConcurrentQueue<Command> orders;
+  std::atomic<bool> wake_posted{false}, ready_signalled{false};
+  moodycamel::ConcurrentQueue<Command> commands;
   moodycamel::ConcurrentQueue<QueuedAnswer> completions;
   // Delivered answers, which the journal need not keep any longer.
-  moodycamel::ConcurrentQueue<MessageId> handed;
+  moodycamel::ConcurrentQueue<MessageId> delivered_answers;
   // Answers for the answer thread; nullopt: it ends.
   moodycamel::BlockingConcurrentQueue<std::optional<CallbackAnswer>> callbacks;
   net::Fd ready_read, ready_write;
-  std::atomic<std::uint64_t> submitted{0}, tallies[5]{}, callback_errors{0};  // answers, by Final
+  std::atomic<std::uint64_t> submitted{0}, final_counts[5]{}, callback_errors{0};  // answers, by Final
   std::mutex mutex;
   std::condition_variable changed;  // the state, or the capacity for submissions
-  std::atomic<int> waiting_for_room{0};
+  std::atomic<int> waiting_submitters{0};
   std::thread loop_thread, answer_thread;
-  std::string bound, bound_smpp;  // addresses on which the servers listen
+  std::string bound_address, bound_smpp_address;  // addresses on which the servers listen
 
   // ---- Used by the loop thread only. ----
   loop::Loop loop;
@@ -119,12 +119,12 @@
   std::vector<Ticket> withdrawals;  // requested, processed when the command queue is empty
   loop::TimerId deadline_timer = 0;
   Time deadline = 0;
-  std::uint64_t undelivered = 0;           // answers passed to the answer thread, since the start
-  std::atomic<std::uint64_t> finished{0};  // of these, the ones whose callbacks have returned
+  std::uint64_t callbacks_queued = 0;                // answers passed to the answer thread, since the start
+  std::atomic<std::uint64_t> callbacks_finished{0};  // of these, the ones whose callbacks have returned
   bool closed = false;
   // Threading::host: callbacks that are running now. They are left out of the wait for callbacks to finish,
   // since one of them may be what stops the engine.
-  std::uint64_t inside = 0;
+  std::uint64_t callbacks_running = 0;
 
   // Whether this is a forked child of the process that opened the engine.
   bool forked() const { return getpid() != pid; }
@@ -135,20 +135,20 @@
 
   // Wake-ups are coalesced: at most one is posted until the loop has processed it.
   void wake() {
-    if (woken.exchange(true)) return;
+    if (wake_posted.exchange(true)) return;
     loop.post([self = weak_from_this()] {
-      if (const auto impl = self.lock()) impl->take_orders();
+      if (const auto impl = self.lock()) impl->process_commands();
     });
   }
 
   void start() {
     node = std::make_unique<node::Node>(
-        loop, settings, [this](const char* event, const std::string& text) { log(event, text); }, decider,
-        options.serve,
-        node::Node::Heir{
-            .held = [this](MessageId id, const std::string& owner) { return take_over(id, owner); },
-            .answered = [this](const journal::record::Answered& a) { tell_again(a); }});
-    bound = node->address(), bound_smpp = node->smpp_address();
+        loop, settings, [this](const char* event, const std::string& text) { log(event, text); },
+        decider_factory, options.serve,
+        node::Node::RecoveryHandler{
+            .held = [this](MessageId id, const std::string& owner) { return adopt_held(id, owner); },
+            .answered = [this](const journal::record::Answered& a) { redeliver_answer(a); }});
+    bound_address = node->address(), bound_smpp_address = node->smpp_address();
     apply(engine::Input::opened);
     if (options.threading == Options::Threading::host) return;
     // The threads share ownership of Impl: when an Engine is destroyed inside a callback, they end on their
@@ -163,7 +163,7 @@
         self->callbacks.wait_dequeue(done);
         if (!done) return;
         self->run_callback(*done);
-        self->finished++;
+        self->callbacks_finished++;
         if (self->state.load() == State::stopping) self->wake();
       }
     });
@@ -181,22 +181,22 @@
     }
     done.callback = nullptr;  // what it captured is destroyed on this thread
     release();
-    hand_over(done.journaled);
+    answer_delivered(done.journaled);
   }
   // The answer was delivered, so the journal need not keep it. May be called from any thread.
-  void hand_over(MessageId journaled) {
+  void answer_delivered(MessageId journaled) {
     if (journaled == 0) return;
-    handed.enqueue(journaled);
+    delivered_answers.enqueue(journaled);
     wake();
   }
-  void take_handed() {
-    for (MessageId id; handed.try_dequeue(id);) node->handed_over(id);
+  void release_delivered_answers() {
+    for (MessageId id; delivered_answers.try_dequeue(id);) node->answer_delivered(id);
   }
 
   // One message fewer counts against held_max.
   void release() {
     held--;
-    if (waiting_for_room.load() == 0) return;
+    if (waiting_submitters.load() == 0) return;
     const std::lock_guard lock(mutex);
     changed.notify_all();
   }
@@ -210,19 +210,19 @@
       state = s.next;
     }
     if (moved) changed.notify_all();
-    if (s.stop_taking && node) {
+    if (s.stop_accepting && node) {
       // Messages submitted before a drain are still delivered, including those that are still in the command
       // queue.
-      if (s.next == State::draining) settle_orders();
-      node->stop_taking();
+      if (s.next == State::draining) flush_commands();
+      node->stop_accepting();
     }
     if (s.end_all) end_all();
     if (s.close) close();
   }
 
   // Sets the drain deadline, unless an earlier one is set.
-  void arm(Time within) {
-    const Time at = loop.refresh() + std::max<Time>(0, within);
+  void arm_drain_deadline(Time within) {
+    const Time at = loop.refresh_now() + std::max<Time>(0, within);
     if (deadline_timer != 0 && deadline <= at) return;
     loop.cancel(deadline_timer);
     deadline = at;
@@ -233,27 +233,27 @@
   }
 
   void end_all() {
-    settle_orders();
+    flush_commands();
     node->end_all();
-    loop.defer([this] { look_for_end(0); });
+    loop.defer([this] { check_stopped(0); });
   }
 
   // While stopping: repeats until all callbacks have returned and the servers have written their answers.
-  void look_for_end(Time waited) {
+  void check_stopped(Time waited) {
     if (state.load() != State::stopping) return;
-    const bool all_handed = finished.load() + inside == undelivered;
+    const bool all_handed = callbacks_finished.load() + callbacks_running == callbacks_queued;
     const bool written = waited > kWriteAnswersTimeout || node->drained();
     if (all_handed && written) return apply(engine::Input::all_answered);
-    loop.after(2'000, [this, waited] { look_for_end(waited + 2'000); });
+    loop.after(2'000, [this, waited] { check_stopped(waited + 2'000); });
   }
 
   void close() {
     closed = true;
-    take_handed();
+    release_delivered_answers();
     const auto& c = node->core().counts();
-    log("counts", "taken " + std::to_string(c.taken) + ", served " + std::to_string(c.served) + ", refused " +
-                      std::to_string(c.refused) + ", failed " + std::to_string(c.failed) + ", withdrawn " +
-                      std::to_string(c.withdrawn));
+    log("counts", "taken " + std::to_string(c.accepted) + ", served " + std::to_string(c.served) +
+                      ", refused " + std::to_string(c.refused) + ", failed " + std::to_string(c.failed) +
+                      ", withdrawn " + std::to_string(c.withdrawn));
     callbacks.enqueue(std::nullopt);
   }
 
@@ -269,7 +269,7 @@
 
   // ---- Messages that an earlier run accepted ----
   // One that is still held: its answer goes to this engine if its owner is a ticket.
-  relay::Answers* take_over(MessageId id, const std::string& owner) {
+  relay::AnswerSink* adopt_held(MessageId id, const std::string& owner) {
     const Ticket ticket = ticket_of(owner);
     if (ticket == 0) return nullptr;
     next_ticket = std::max(next_ticket.load(), ticket + 1);
@@ -279,7 +279,7 @@
     return this;
   }
   // One that has its answer, which was not delivered before that run ended.
-  void tell_again(const journal::record::Answered& a) {
+  void redeliver_answer(const journal::record::Answered& a) {
     const Ticket ticket = ticket_of(a.owner);
     if (ticket == 0) return;
     next_ticket = std::max(next_ticket.load(), ticket + 1);
@@ -290,65 +290,65 @@
     deliver({ticket, final, a.come_back, a.attempts, a.last}, options.recovered, a.id);
   }
   // While draining: repeats until nothing is held.
-  void idle_check() {
+  void check_drained() {
     if (state.load() == State::draining && submitting.load() == 0 && pending.empty() &&
-        orders.size_approx() == 0 && node->drained())
+        commands.size_approx() == 0 && node->drained())
       apply(engine::Input::nothing_held);
     else if (state.load() == State::draining)
-      loop.after(5'000, [this] { idle_check(); });
+      loop.after(5'000, [this] { check_drained(); });
   }
   void deliver(Answer answer, Callback callback, MessageId journaled = 0) {
-    tallies[static_cast<int>(answer.final)]++;
+    final_counts[static_cast<int>(answer.final)]++;
     if (callback) {
-      undelivered++;
+      callbacks_queued++;
       callbacks.enqueue(CallbackAnswer{std::move(answer), std::move(callback), journaled});
       return;
     }
     unread++;
     completions.enqueue({std::move(answer), journaled});
-    mark_ready();
+    signal_ready();
   }
   // Makes the completion descriptor readable.
-  void mark_ready() {
-    if (ready_marked.exchange(true)) return;
+  void signal_ready() {
+    if (ready_signalled.exchange(true)) return;
     const char byte = 'a';
     [[maybe_unused]] const auto n = write(ready_write.get(), &byte, 1);
   }
 
-  void served(MessageId id, const relay::Ending& e) override {
-    answered(id, {0, Final::served, 0, 0, e.what});
+  void served(MessageId id, const relay::CallResult& e) override {
+    answered(id, {0, Final::served, 0, 0, e.detail});
   }
-  void refused(MessageId id, Time come_back, const relay::Account& a) override {
-    answered(id, {0, Final::refused, come_back, a.attempts, a.last});
+  void refused(MessageId id, Time come_back, const relay::AttemptSummary& a) override {
+    answered(id, {0, Final::refused, come_back, a.attempts, a.last_outcome});
   }
-  void failed(MessageId id, const relay::Account& a) override {
-    answered(id, {0, Final::failed, 0, a.attempts, a.last});
+  void failed(MessageId id, const relay::AttemptSummary& a) override {
+    answered(id, {0, Final::failed, 0, a.attempts, a.last_outcome});
   }
 
-  void take_orders() {
+  void process_commands() {
     // An exchange synchronizes with the threads that set the flag: what they queued before that is seen
     // below.
-    woken.exchange(false);
-    take_handed();
+    wake_posted.exchange(false);
+    release_delivered_answers();
     Command batch[64];
     for (std::size_t n = 0, got = 0; n < kCommandsPerTurn; n += got) {
-      got = orders.try_dequeue_bulk(batch, 64);
-      if (got == 0) return take_withdrawals();
-      for (std::size_t i = 0; i < got; i++) take_order(std::move(batch[i]));
+      got = commands.try_dequeue_bulk(batch, 64);
+      if (got == 0) return process_withdrawals();
+      for (std::size_t i = 0; i < got; i++) process_command(std::move(batch[i]));
     }
     wake();  // there may be more: continues after the loop's other work
   }
   // Processes the whole command queue. To be called after the state has changed: no submission can begin
   // then, and those in progress are waited for.
-  void settle_orders() {
+  void flush_commands() {
     while (submitting.load() != 0) std::this_thread::yield();
     Command command;
-    while (orders.try_dequeue(command)) take_order(std::move(command));
-    take_withdrawals();
+    while (commands.try_dequeue(command)) process_command(std::move(command));
+    process_withdrawals();
   }
   // Called only when the command queue was empty: the queue keeps no order between threads, so a ticket's
   // submission may come out after another thread's withdrawal of it.
-  void take_withdrawals() {
+  void process_withdrawals() {
     const auto tickets = std::exchange(withdrawals, {});
     for (const Ticket ticket : tickets) {
       const auto it = by_ticket.find(ticket);
@@ -358,7 +358,7 @@
       answered(id, {0, Final::withdrawn, 0, 0, ""});
     }
   }
-  void take_order(Command command) {
+  void process_command(Command command) {
     switch (command.kind) {
       case Command::Kind::call:
         // At the end of the turn, never between the commands of one batch: a drain would refuse the
@@ -380,37 +380,39 @@
     Pending p{command.ticket, std::move(command.callback), loop.now(), *destination,
               command.message.message_class};
     MessageId id = 0;
-    const auto entry = node->take(std::move(command.message), *this, [&](MessageId new_id) {
+    const auto entry = node->accept(std::move(command.message), *this, [&](MessageId new_id) {
       id = new_id;
       pending[id] = std::move(p);
       by_ticket[command.ticket] = id;
     });
-    if (entry.taken == relay::Core::Taken::unfit) return answered(id, {0, Final::rejected, 0, 0, entry.why});
+    if (entry.status == relay::Core::AcceptStatus::unsupported)
+      return answered(id, {0, Final::rejected, 0, 0, entry.reason});
     // Never sent, so it is harmless to try again. The engine is stopping, or clients of the servers have
     // filled the buffer.
-    if (entry.taken != relay::Core::Taken::yes) answered(id, {0, Final::refused, 0, 0, entry.why});
+    if (entry.status != relay::Core::AcceptStatus::accepted)
+      answered(id, {0, Final::refused, 0, 0, entry.reason});
   }
 
   // Runs the function on the loop thread and waits until it has returned. With Threading::host it runs at
   // once.
-  void on_loop(std::function<void()> f) {
+  void run_on_loop(std::function<void()> f) {
     if (options.threading == Options::Threading::host) return f();
     const auto done = std::make_shared<std::promise<void>>();
     auto result = done->get_future();
     Command command;
     command.kind = Command::Kind::call;
     command.call = [f = std::move(f), done] { f(), done->set_value(); };
-    orders.enqueue(std::move(command));
+    commands.enqueue(std::move(command));
     wake();
     while (result.wait_for(std::chrono::milliseconds(20)) != std::future_status::ready)
       if (state.load() == State::stopped) return;  // the loop no longer runs
   }
   // Runs the function on the loop thread, without waiting.
-  void ask(std::function<void()> f) {
+  void post_to_loop(std::function<void()> f) {
     Command command;
     command.kind = Command::Kind::call;
     command.call = std::move(f);
-    orders.enqueue(std::move(command));
+    commands.enqueue(std::move(command));
     wake();
   }
 
@@ -426,7 +428,8 @@
     return result;
   }
   Submission submit_counted(Message& m, Callback& callback) {
-    if (!engine::takes(state.load())) return {Submitted::closed, 0, "the engine takes nothing more"};
+    if (!engine::accepts_submissions(state.load()))
+      return {Submitted::closed, 0, "the engine takes nothing more"};
     if (held.fetch_add(1) >= options.held_max) {
       held--;
       return {Submitted::would_block, 0, "as many messages are held as may be"};
@@ -451,7 +454,7 @@
     command.callback = std::move(callback);
     const Ticket ticket = command.ticket = next_ticket++;
     submitted++;
-    orders.enqueue(std::move(command));
+    commands.enqueue(std::move(command));
     return {Submitted::taken, ticket, ""};
   }
 
@@ -461,9 +464,9 @@
     loop.run_once(most_wait);
     std::optional<CallbackAnswer> done;
     while (callbacks.try_dequeue(done) && done) {
-      inside++;
+      callbacks_running++;
       run_callback(*done);
-      inside--, finished++;
+      callbacks_running--, callbacks_finished++;
     }
     if (closed) node.reset();
   }
@@ -477,7 +480,7 @@
       for (int i = 0; i < 5'000 && !closed; i++) run_once(2'000);
       return;
     }
-    ask([this] { apply(engine::Input::stop); });
+    post_to_loop([this] { apply(engine::Input::stop); });
     const bool in_callback = std::this_thread::get_id() == answer_thread.get_id();
     for (auto* t : {&loop_thread, &answer_thread}) {
       if (!t->joinable()) continue;
@@ -499,7 +502,7 @@
 }
 
 std::unique_ptr<Engine> EngineAccess::open(config::RelaySettings settings, Options options,
-                                           node::Node::DeciderMaker decider) {
+                                           node::Node::DeciderFactory decider) {
   auto impl = std::make_shared<Engine::Impl>(std::move(settings), std::move(options), std::move(decider));
   impl->start();
   return std::unique_ptr<Engine>(new Engine(std::move(impl)));
@@ -521,11 +524,11 @@
     auto result = impl_->submit(message, callback);
     if (result.status != Submitted::would_block || std::chrono::steady_clock::now() >= until) return result;
     std::unique_lock lock(impl_->mutex);
-    impl_->waiting_for_room++;
+    impl_->waiting_submitters++;
     // Wakes after 5 ms at the latest, since capacity may have become free between the attempt and the lock.
     impl_->changed.wait_until(
         lock, std::min(until, std::chrono::steady_clock::now() + std::chrono::milliseconds(5)));
-    impl_->waiting_for_room--;
+    impl_->waiting_submitters--;
   }
 }
 
@@ -542,7 +545,7 @@
   if (impl_->forked()) return;
   Command command;
   command.kind = Command::Kind::withdraw, command.ticket = ticket;
-  impl_->orders.enqueue(std::move(command));
+  impl_->commands.enqueue(std::move(command));
   impl_->wake();
 }
 
@@ -552,22 +555,22 @@
   char bytes[16];
   while (read(impl_->ready_read.get(), bytes, sizeof bytes) > 0) {
   }
-  impl_->ready_marked = false;
+  impl_->ready_signalled = false;
   std::size_t n = 0;
   for (QueuedAnswer c; n < most && impl_->completions.try_dequeue(c); n++) {
     answers.push_back(std::move(c.answer));
     impl_->unread--;
     impl_->release();
-    impl_->hand_over(c.journaled);
+    impl_->answer_delivered(c.journaled);
   }
-  if (impl_->unread.load() > 0) impl_->mark_ready();
+  if (impl_->unread.load() > 0) impl_->signal_ready();
   return n;
 }
 
 int Engine::descriptor() const { return impl_->ready_read.get(); }
 State Engine::state() const { return impl_->state.load(); }
-std::string Engine::address() const { return impl_->bound; }
-std::string Engine::smpp_address() const { return impl_->bound_smpp; }
+std::string Engine::address() const { return impl_->bound_address; }
+std::string Engine::smpp_address() const { return impl_->bound_smpp_address; }
 
 Snapshot Engine::snapshot(std::size_t oldest) {
   Impl& i = *impl_;
@@ -576,12 +579,13 @@
   const std::size_t held = i.held.load();
   s.held = held - std::min(held, s.unread);
   s.submitted = i.submitted.load(), s.callback_errors = i.callback_errors.load();
-  s.served = i.tallies[0].load(), s.refused = i.tallies[1].load(), s.failed = i.tallies[2].load();
-  s.withdrawn = i.tallies[3].load(), s.rejected = i.tallies[4].load();
+  s.served = i.final_counts[0].load(), s.refused = i.final_counts[1].load(),
+  s.failed = i.final_counts[2].load();
+  s.withdrawn = i.final_counts[3].load(), s.rejected = i.final_counts[4].load();
   if (oldest == 0 || i.forked() || s.state == State::stopped) return s;
   const auto list = std::make_shared<std::vector<Held>>();
   const auto clients = std::make_shared<std::size_t>(0);
-  i.on_loop([&i, list, clients, oldest] {
+  i.run_on_loop([&i, list, clients, oldest] {
     *clients = i.node->core().held() - std::min(i.node->core().held(), i.pending.size());
     for (const auto& [ticket, id] : i.by_ticket) {
       if (list->size() >= oldest) break;
@@ -597,16 +601,16 @@
 
 void Engine::drain(Time within) {
   if (impl_->forked()) return;
-  impl_->ask([i = impl_.get(), within] {
+  impl_->post_to_loop([i = impl_.get(), within] {
     const auto s = engine::step(i->state.load(), engine::Input::drain);
     i->apply(engine::Input::drain);
-    if (s.arm_deadline) i->arm(within);
-    if (i->state.load() == State::draining) i->idle_check();
+    if (s.arm_deadline) i->arm_drain_deadline(within);
+    if (i->state.load() == State::draining) i->check_drained();
   });
 }
 
 void Engine::stop() {
-  if (!impl_->forked()) impl_->ask([i = impl_.get()] { i->apply(engine::Input::stop); });
+  if (!impl_->forked()) impl_->post_to_loop([i = impl_.get()] { i->apply(engine::Input::stop); });
 }
 
 bool Engine::wait(Time within) {
@@ -629,7 +633,7 @@
     return e.errors();
   }
   const auto refused = std::make_shared<std::vector<std::string>>();
-  impl_->on_loop([i = impl_.get(), refused, next] {
+  impl_->run_on_loop([i = impl_.get(), refused, next] {
     *refused = engine::reload_refusals(i->settings, next);
     if (!refused->empty() || i->state.load() == State::stopped) return;
     i->node->apply(next);
--- a/src/engine/engine_access.hpp
+++ b/src/engine/engine_access.hpp
@@ -9,7 +9,7 @@
 
 struct EngineAccess {
   static std::unique_ptr<Engine> open(config::RelaySettings settings, Options options,
-                                      node::Node::DeciderMaker decider);
+                                      node::Node::DeciderFactory decider);
 };
 
 }  // namespace cedarplank::delivery
--- a/src/engine/lifecycle.hpp
+++ b/src/engine/lifecycle.hpp
@@ -26,10 +26,10 @@
 // A transition: the next state, and what the caller has to do.
 struct Step {
   State next = State::opening;
-  bool stop_taking = false;   // submissions are refused from now on
-  bool arm_deadline = false;  // start the timer for Input::drain_deadline
-  bool end_all = false;       // give every held message its final answer now
-  bool close = false;         // nothing is left to do: end the threads
+  bool stop_accepting = false;  // submissions are refused from now on
+  bool arm_deadline = false;    // start the timer for Input::drain_deadline
+  bool end_all = false;         // give every held message its final answer now
+  bool close = false;           // nothing is left to do: end the threads
 };
 
 constexpr Step step(State state, Input input) {
@@ -37,11 +37,12 @@
     case State::opening:
       if (input == Input::opened) return {.next = State::running};
       if (input == Input::open_failed || input == Input::stop)
-        return {.next = State::stopped, .stop_taking = true, .close = true};
+        return {.next = State::stopped, .stop_accepting = true, .close = true};
       break;
     case State::running:
-      if (input == Input::drain) return {.next = State::draining, .stop_taking = true, .arm_deadline = true};
-      if (input == Input::stop) return {.next = State::stopping, .stop_taking = true, .end_all = true};
+      if (input == Input::drain)
+        return {.next = State::draining, .stop_accepting = true, .arm_deadline = true};
+      if (input == Input::stop) return {.next = State::stopping, .stop_accepting = true, .end_all = true};
       break;
     case State::draining:
       // A second drain may only shorten the first: its deadline is armed too, and the earlier one applies.
@@ -59,7 +60,7 @@
 }
 
 // Whether submissions are accepted in this state.
-constexpr bool takes(State state) { return state == State::running; }
+constexpr bool accepts_submissions(State state) { return state == State::running; }
 
 // Compares running settings with new ones. Returns one line for each setting that differs but may not change
 // while the engine runs; empty if all changes can be taken over.
@@ -82,7 +83,7 @@
   // Held messages carry indexes into these lists, and the dispatcher holds copies of their values.
   keep(now.names.classes == next.names.classes, "classes");
   keep(now.names.kinds == next.names.kinds, "kinds");
-  keep(now.kind_wire == next.kind_wire, "kinds[].smpp and unseen_503");
+  keep(now.kind_protocols == next.kind_protocols, "kinds[].smpp and unseen_503");
   keep(now.smpp == next.smpp, "smpp");
   keep(now.names.zones == next.names.zones, "zones");
   keep(now.names.tenants == next.names.tenants, "tenants");
--- a/src/gateway/front.cpp
+++ b/src/gateway/front.cpp
@@ -38,14 +38,14 @@
   }
 }
 
-int status_of(relay::Rejection::Why why) {
+int status_of(relay::Rejection::Reason why) {
   switch (why) {
-    case relay::Rejection::Why::no_destination:
-    case relay::Rejection::Why::no_class:
+    case relay::Rejection::Reason::unknown_destination:
+    case relay::Rejection::Reason::unknown_class:
       return 404;
-    case relay::Rejection::Why::too_large:
+    case relay::Rejection::Reason::too_large:
       return 413;
-    case relay::Rejection::Why::malformed:
+    case relay::Rejection::Reason::malformed:
       break;
   }
   return 400;
@@ -53,19 +53,19 @@
 
 }  // namespace
 
-Front::Front(loop::Loop& loop, const config::RelaySettings& settings, Host host)
-    : loop_(loop), settings_(settings), host_(std::move(host)), intake_(settings) {
+PushServer::PushServer(loop::Loop& loop, const config::RelaySettings& settings, Host host)
+    : loop_(loop), settings_(settings), host_(std::move(host)), request_validator_(settings) {
   listener_ = std::make_unique<net::Listener>(loop, net::Address::parse(settings.listen),
                                               [this](net::Fd fd) { accept(std::move(fd)); });
-  sweep_timer_ = loop_.after(settings_.stalled_after / 4 + 1, [this] { sweep(); });
+  stall_check_timer_ = loop_.after(settings_.stalled_after / 4 + 1, [this] { check_stalled(); });
 }
 
-Front::~Front() {
+PushServer::~PushServer() {
   *alive_ = false;
-  loop_.cancel(sweep_timer_);
+  loop_.cancel(stall_check_timer_);
 }
 
-void Front::accept(net::Fd fd) {
+void PushServer::accept(net::Fd fd) {
   // At the limit, further connections wait in the listener's backlog until one closes: see close().
   if (clients_.size() + 1 >= static_cast<std::size_t>(settings_.client_connections_max))
     listener_->pause(true);
@@ -91,7 +91,7 @@
   flush(c);
 }
 
-void Front::flush(Client& c) {
+void PushServer::flush(Client& c) {
   if (c.closing || !c.h2.has_output()) return;
   c.stream->write(c.h2.take_output());
   // Reads no more requests from a client that doesn't read its answers, so that the answers held for it stay
@@ -102,14 +102,14 @@
   }
 }
 
-void Front::receive(ClientId id, std::string_view bytes) {
+void PushServer::receive(ClientId id, std::string_view bytes) {
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
   Client& c = *it->second;
   std::vector<http2::Event> events;
   c.h2.receive(loop_.now(), bytes, events);
   for (auto& e : events) on_event(c, e);
-  c.h2.limit_streams(static_cast<std::uint32_t>(host_.streams()));
+  c.h2.limit_streams(static_cast<std::uint32_t>(host_.client_streams_max()));
   flush(c);
   if (c.h2.failed() && !c.closing) {
     c.closing = true;
@@ -117,49 +117,49 @@
   }
 }
 
-void Front::on_event(Client& c, http2::Event& e) {
+void PushServer::on_event(Client& c, http2::Event& e) {
   using Type = http2::Event::Type;
   switch (e.type) {
     case Type::headers:
       on_request(c, e);
       break;
     case Type::data: {
-      const auto it = c.coming.find(e.stream);
-      if (it == c.coming.end()) break;  // answered already: the rest of the body is ignored
+      const auto it = c.incoming.find(e.stream);
+      if (it == c.incoming.end()) break;  // answered already: the rest of the body is ignored
       auto& body = it->second.message.body;
-      if (const auto rejection = intake_.check_body(body.size() + e.data.size())) {
+      if (const auto rejection = request_validator_.check_body(body.size() + e.data.size())) {
         drop_request(c, e.stream);
         answer_problem(c, e.stream, {413, title_of(413), rejection->detail});
         break;
       }
-      if (body_bytes_ + e.data.size() > static_cast<std::size_t>(settings_.body_total_max)) {
+      if (incoming_body_bytes_ + e.data.size() > static_cast<std::size_t>(settings_.body_total_max)) {
         drop_request(c, e.stream);
         answer_problem(c, e.stream, {503, title_of(503), "too much is coming in at once; not taken"});
         break;
       }
-      body += e.data, body_bytes_ += e.data.size();
-      if (e.end_stream) complete(c, e.stream);
+      body += e.data, incoming_body_bytes_ += e.data.size();
+      if (e.end_stream) submit_request(c, e.stream);
       break;
     }
     case Type::trailers:
-      complete(c, e.stream);
+      submit_request(c, e.stream);
       break;
     case Type::reset: {
       drop_request(c, e.stream);
-      const auto it = c.taken.find(e.stream);
-      if (it == c.taken.end()) break;
+      const auto it = c.unanswered.find(e.stream);
+      if (it == c.unanswered.end()) break;
       const MessageId id = it->second;
-      c.taken.erase(it);
-      places_.erase(id);
+      c.unanswered.erase(it);
+      waiting_requests_.erase(id);
       host_.withdraw(id);
       break;
     }
     case Type::failed: {
       if (e.local) host_.log("client connection closed after a connection error: " + e.data);
-      const auto unanswered = std::move(c.taken);
-      c.taken.clear();
-      for (const auto& [stream, id] : unanswered) lost(id);
-      while (!c.coming.empty()) drop_request(c, c.coming.begin()->first);
+      const auto unanswered = std::move(c.unanswered);
+      c.unanswered.clear();
+      for (const auto& [stream, id] : unanswered) on_client_lost(id);
+      while (!c.incoming.empty()) drop_request(c, c.incoming.begin()->first);
       break;
     }
     case Type::ping_ack:
@@ -171,18 +171,18 @@
 }
 
 // Everything that can be wrong with a request's headers is reported before any of its body is kept.
-void Front::on_request(Client& c, http2::Event& e) {
+void PushServer::on_request(Client& c, http2::Event& e) {
   const auto bad = [&](int status, const std::string& detail, http2::Headers extra = {}) {
     answer_problem(c, e.stream, {status, title_of(status), detail}, std::move(extra));
   };
-  if (host_.book != nullptr && on_message(c, e)) return;
+  if (host_.message_registry != nullptr && on_message_resource(c, e)) return;
   const auto target = parse_target(http2::find_header(e.headers, ":path"));
   if (!target) return bad(404, "the path is no /push/<destination>/<class>");
   if (http2::find_header(e.headers, ":method") != "POST")
     return bad(405, "only POST pushes a message", {{"allow", "POST"}});
   Request r;
-  r.since = loop_.now();
-  const auto destination = host_.destination(target->destination);
+  r.received_at = loop_.now();
+  const auto destination = host_.find_destination(target->destination);
   if (!destination) return bad(404, "no destination is named '" + target->destination + "'");
   r.message.destination = *destination;
   r.message.client_connection = c.id, r.message.client_stream = e.stream;
@@ -196,65 +196,66 @@
   request.recipient = field("recipient"), request.sender = field("sender");
   if (!settings_.tenant_field.empty()) request.tenant = field(settings_.tenant_field.c_str());
   r.destination = target->destination, r.message_class = target->message_class, r.tenant = request.tenant;
-  r.async = host_.book != nullptr && has_preference(field("prefer"), "respond-async");
-  auto rejection = intake_.check(request, r.message);
+  r.async = host_.message_registry != nullptr && has_preference(field("prefer"), "respond-async");
+  auto rejection = request_validator_.check(request, r.message);
   const auto length = http2::find_header(e.headers, "content-length");
   if (!rejection && !length.empty())
-    rejection = intake_.check_body(length.size() > 12 ? std::numeric_limits<std::size_t>::max()
-                                                      : std::stoull(std::string(length)));
-  if (rejection) return bad(status_of(rejection->why), rejection->detail);
-  c.coming[e.stream] = std::move(r);
-  if (e.end_stream) complete(c, e.stream);
+    rejection = request_validator_.check_body(length.size() > 12 ? std::numeric_limits<std::size_t>::max()
+                                                                 : std::stoull(std::string(length)));
+  if (rejection) return bad(status_of(rejection->reason), rejection->detail);
+  c.incoming[e.stream] = std::move(r);
+  if (e.end_stream) submit_request(c, e.stream);
 }
 
-void Front::complete(Client& c, http2::StreamId stream) {
-  const auto it = c.coming.find(stream);
-  if (it == c.coming.end()) return;
+void PushServer::submit_request(Client& c, http2::StreamId stream) {
+  const auto it = c.incoming.find(stream);
+  if (it == c.incoming.end()) return;
   Request r = std::move(it->second);
-  c.coming.erase(it);
-  body_bytes_ -= r.message.body.size();
-  if (host_.book != nullptr && !r.message.idempotency_key.empty() && known_already(c, stream, r)) return;
+  c.incoming.erase(it);
+  incoming_body_bytes_ -= r.message.body.size();
+  if (host_.message_registry != nullptr && !r.message.idempotency_key.empty() && answer_repeat(c, stream, r))
+    return;
   if (stopping_) return answer_problem(c, stream, {503, title_of(503), "the relay is stopping; not taken"});
   MessageId id = 0;
-  const auto entry = host_.take(std::move(r.message), [&](MessageId assigned) {
+  const auto entry = host_.accept(std::move(r.message), [&](MessageId assigned) {
     id = assigned;
-    c.taken[stream] = id;
-    places_[id] = {c.id, stream};
+    c.unanswered[stream] = id;
+    waiting_requests_[id] = {c.id, stream};
   });
-  if (entry.taken == relay::Core::Taken::yes) {
-    if (r.async) accepted(id, c.id, stream);
+  if (entry.status == relay::Core::AcceptStatus::accepted) {
+    if (r.async) answer_when_durable(id, c.id, stream);
     return;
   }
-  c.taken.erase(stream);
-  places_.erase(id);
-  if (entry.taken == relay::Core::Taken::unfit)
-    return answer_problem(c, stream, {400, title_of(400), entry.why});
+  c.unanswered.erase(stream);
+  waiting_requests_.erase(id);
+  if (entry.status == relay::Core::AcceptStatus::unsupported)
+    return answer_problem(c, stream, {400, title_of(400), entry.reason});
   // Too little capacity or time is a passing state, so the client may try again. A relay that is stopping
   // gives no retry-after, since it won't be there.
   http2::Headers extra;
-  if (entry.taken == relay::Core::Taken::full) extra.push_back({"retry-after", "1"});
-  answer_problem(c, stream, {503, title_of(503), entry.why}, std::move(extra));
+  if (entry.status == relay::Core::AcceptStatus::full) extra.push_back({"retry-after", "1"});
+  answer_problem(c, stream, {503, title_of(503), entry.reason}, std::move(extra));
 }
 
 // RFC 8030 section 5.1: 202 with the location of the message resource, once the message would survive a
 // crash.
-void Front::accepted(MessageId id, ClientId client, http2::StreamId stream) {
-  host_.book->keep_answer(id);
-  host_.book->when_taken(id, [this, id, client, stream, alive = alive_] {
+void PushServer::answer_when_durable(MessageId id, ClientId client, http2::StreamId stream) {
+  host_.message_registry->keep_answer(id);
+  host_.message_registry->when_taken(id, [this, id, client, stream, alive = alive_] {
     if (!*alive) return;
-    const auto it = places_.find(id);
+    const auto it = waiting_requests_.find(id);
     // Answered meanwhile, or its client left.
-    if (it == places_.end() || it->second != std::pair(client, stream)) return;
-    final_answer(id, {{":status", "202"}, {"location", "/message/" + message_name(id)}});
+    if (it == waiting_requests_.end() || it->second != std::pair(client, stream)) return;
+    answer_waiting_request(id, {{":status", "202"}, {"location", "/message/" + message_name(id)}});
   });
 }
 
-void Front::lost(MessageId id) {
-  places_.erase(id);
+void PushServer::on_client_lost(MessageId id) {
+  waiting_requests_.erase(id);
   // A relay that remembers messages goes on with it, since the client may have lost only its connection and
   // may ask again.
-  if (host_.book != nullptr)
-    host_.book->keep_answer(id);
+  if (host_.message_registry != nullptr)
+    host_.message_registry->keep_answer(id);
   else
     host_.withdraw(id);
 }
@@ -262,130 +263,132 @@
 // The repeat of a request takes over the wait for its message if no other request waits for it (409 if one
 // does), or gets the final answer that the message had. A message that was refused had no effect, so its
 // repeat is accepted as a new message.
-bool Front::known_already(Client& c, http2::StreamId stream, const Request& r) {
-  using State = relay::Book::Entry::What;
-  const auto e = host_.book->find(r.tenant, r.destination, r.message_class, r.message);
-  if (e.what == State::unknown || e.what == State::refused) return false;
-  if (e.what == State::another) {
+bool PushServer::answer_repeat(Client& c, http2::StreamId stream, const Request& r) {
+  using State = relay::MessageRegistry::Entry::State;
+  const auto e = host_.message_registry->find(r.tenant, r.destination, r.message_class, r.message);
+  if (e.state == State::unknown || e.state == State::refused) return false;
+  if (e.state == State::key_conflict) {
     answer_problem(c, stream, {422, title_of(422), "another message was sent under this idempotency-key"});
-  } else if (e.what != State::held) {
-    answer_entry(c, stream, e);
-  } else if (const auto at = places_.find(e.id); at != places_.end()) {
+  } else if (e.state != State::held) {
+    answer_remembered(c, stream, e);
+  } else if (const auto at = waiting_requests_.find(e.id); at != waiting_requests_.end()) {
     answer_problem(c, stream, {409, title_of(409), "the message of this idempotency-key is being delivered"},
                    {{"location", "/message/" + message_name(e.id)}, {"retry-after", "1"}});
   } else {
-    c.taken[stream] = e.id, places_[e.id] = {c.id, stream};
-    if (r.async) accepted(e.id, c.id, stream);
+    c.unanswered[stream] = e.id, waiting_requests_[e.id] = {c.id, stream};
+    if (r.async) answer_when_durable(e.id, c.id, stream);
   }
   return true;
 }
 
 // The same response that the message's first request would have got.
-void Front::answer_entry(Client& c, http2::StreamId stream, const relay::Book::Entry& e) {
-  if (e.what == relay::Book::Entry::What::served)
+void PushServer::answer_remembered(Client& c, http2::StreamId stream,
+                                   const relay::MessageRegistry::Entry& e) {
+  if (e.state == relay::MessageRegistry::Entry::State::served)
     return answer(c, stream, {{":status", "201"}, {"location", "/message/" + message_name(e.id)}});
-  const int status = e.account.attempts == 0 || e.account.last == "no answer in time" ? 504 : 502;
+  const int status = e.summary.attempts == 0 || e.summary.last_outcome == "no answer in time" ? 504 : 502;
   const Problem p{status, title_of(status), "given up: it may or may not have taken effect"};
   answer(c, stream, {{":status", std::to_string(status)}, {"content-type", "application/problem+json"}},
-         problem_body(p, message_name(e.id), e.message_class, e.account.last, e.account.attempts));
+         problem_body(p, message_name(e.id), e.message_class, e.summary.last_outcome, e.summary.attempts));
 }
 
-bool Front::on_message(Client& c, const http2::Event& e) {
+bool PushServer::on_message_resource(Client& c, const http2::Event& e) {
   constexpr std::string_view kPrefix = "/message/";
   std::string_view path = http2::find_header(e.headers, ":path");
   if (path.substr(0, kPrefix.size()) != kPrefix) return false;
   path.remove_prefix(kPrefix.size());
-  using State = relay::Book::Entry::What;
-  relay::Book::Entry found;
+  using State = relay::MessageRegistry::Entry::State;
+  relay::MessageRegistry::Entry found;
   const auto& name = settings_.name;
   if (path.size() > name.size() + 1 && path.size() < name.size() + 21 &&
       path.substr(0, name.size() + 1) == name + "-") {
     const auto digits = path.substr(name.size() + 1);
     if (digits.find_first_not_of("0123456789") == std::string_view::npos)
-      found = host_.book->look(std::strtoull(std::string(digits).c_str(), nullptr, 10));
+      found = host_.message_registry->look(std::strtoull(std::string(digits).c_str(), nullptr, 10));
   }
   // A message of another tenant is answered as if it didn't exist.
   if (!settings_.tenant_field.empty() &&
       found.tenant != http2::find_header(e.headers, settings_.tenant_field.c_str()))
     found = {};
   const auto method = http2::find_header(e.headers, ":method");
-  if (found.what == State::unknown) {
+  if (found.state == State::unknown) {
     answer_problem(c, e.stream, {404, title_of(404), "no such message is held or remembered"});
   } else if (method == "DELETE") {
-    if (found.what == State::held)
+    if (found.state == State::held)
       // 410 for the request that waits for it.
-      final_answer(found.id, {{":status", "410"}}), host_.withdraw(found.id);
+      answer_waiting_request(found.id, {{":status", "410"}}), host_.withdraw(found.id);
     else
-      host_.book->handed_over(found.id);
+      host_.message_registry->handed_over(found.id);
     answer(c, e.stream, {{":status", "204"}});
   } else if (method != "GET") {
     answer_problem(c, e.stream, {405, title_of(405), "a message is asked for by GET and withdrawn by DELETE"},
                    {{"allow", "GET, DELETE"}});
   } else {
-    http2::Headers headers = {{":status", found.what == State::held ? "202" : "200"},
+    http2::Headers headers = {{":status", found.state == State::held ? "202" : "200"},
                               {"content-type", "application/json"}};
-    if (found.what == State::held) headers.push_back({"retry-after", "1"});
+    if (found.state == State::held) headers.push_back({"retry-after", "1"});
     answer(c, e.stream, std::move(headers), message_body(message_name(found.id), found));
   }
   return true;
 }
 
-void Front::drop_request(Client& c, http2::StreamId stream) {
-  const auto it = c.coming.find(stream);
-  if (it == c.coming.end()) return;
-  body_bytes_ -= it->second.message.body.size();
-  c.coming.erase(it);
+void PushServer::drop_request(Client& c, http2::StreamId stream) {
+  const auto it = c.incoming.find(stream);
+  if (it == c.incoming.end()) return;
+  incoming_body_bytes_ -= it->second.message.body.size();
+  c.incoming.erase(it);
 }
 
-void Front::answer(Client& c, http2::StreamId stream, http2::Headers headers, const std::string& body) {
+void PushServer::answer(Client& c, http2::StreamId stream, http2::Headers headers, const std::string& body) {
   if (!body.empty()) headers.push_back({"content-length", std::to_string(body.size())});
   c.h2.respond(stream, headers, body);
 }
 
-void Front::answer_problem(Client& c, http2::StreamId stream, const Problem& p, http2::Headers extra) {
+void PushServer::answer_problem(Client& c, http2::StreamId stream, const Problem& p, http2::Headers extra) {
   http2::Headers headers = {{":status", std::to_string(p.status)},
                             {"content-type", "application/problem+json"}};
   headers.insert(headers.end(), extra.begin(), extra.end());
   answer(c, stream, std::move(headers), problem_body(p, "", "", "", 0));
 }
 
-void Front::final_answer(MessageId id, http2::Headers headers, const std::string& body) {
-  const auto it = places_.find(id);
-  if (it == places_.end()) return;  // its client has left
+void PushServer::answer_waiting_request(MessageId id, http2::Headers headers, const std::string& body) {
+  const auto it = waiting_requests_.find(id);
+  if (it == waiting_requests_.end()) return;  // its client has left
   const auto [client, stream] = it->second;
-  places_.erase(it);
+  waiting_requests_.erase(it);
   const auto at = clients_.find(client);
   if (at == clients_.end()) return;
-  at->second->taken.erase(stream);
+  at->second->unanswered.erase(stream);
   answer(*at->second, stream, std::move(headers), body);
   flush(*at->second);
 }
 
-void Front::served(MessageId id, const relay::Ending&) {
+void PushServer::served(MessageId id, const relay::CallResult&) {
   // RFC 8030 section 5: 201 with the location of the message resource.
-  final_answer(id, {{":status", "201"}, {"location", "/message/" + message_name(id)}});
+  answer_waiting_request(id, {{":status", "201"}, {"location", "/message/" + message_name(id)}});
 }
 
-void Front::refused(MessageId id, Time wait, const relay::Account& summary) {
+void PushServer::refused(MessageId id, Time wait, const relay::AttemptSummary& summary) {
   const Problem p{503, title_of(503), "handed back: trying again is harmless"};
   http2::Headers headers = {{":status", "503"}, {"content-type", "application/problem+json"}};
-  if (wait > 0) headers.push_back({"retry-after", retry_after(wait)});
+  if (wait > 0) headers.push_back({"retry-after", format_retry_after(wait)});
   const auto& name = settings_.names.classes[static_cast<std::size_t>(summary.message_class)];
-  final_answer(id, std::move(headers),
-               problem_body(p, message_name(id), name, summary.last, summary.attempts));
+  answer_waiting_request(id, std::move(headers),
+                         problem_body(p, message_name(id), name, summary.last_outcome, summary.attempts));
 }
 
-void Front::failed(MessageId id, const relay::Account& summary) {
+void PushServer::failed(MessageId id, const relay::AttemptSummary& summary) {
   // 504 if the last attempt got no answer in time or there was none, else 502. Neither carries retry-after:
   // the message may have taken effect.
-  const int status = summary.attempts == 0 || summary.last == "no answer in time" ? 504 : 502;
+  const int status = summary.attempts == 0 || summary.last_outcome == "no answer in time" ? 504 : 502;
   const Problem p{status, title_of(status), "given up: it may or may not have taken effect"};
   const auto& name = settings_.names.classes[static_cast<std::size_t>(summary.message_class)];
-  final_answer(id, {{":status", std::to_string(status)}, {"content-type", "application/problem+json"}},
-               problem_body(p, message_name(id), name, summary.last, summary.attempts));
+  answer_waiting_request(id,
+                         {{":status", std::to_string(status)}, {"content-type", "application/problem+json"}},
+                         problem_body(p, message_name(id), name, summary.last_outcome, summary.attempts));
 }
 
-void Front::stop_taking() {
+void PushServer::stop_accepting() {
   if (stopping_) return;
   stopping_ = true;
   listener_.reset();
@@ -399,41 +402,41 @@
   }
 }
 
-bool Front::drained() const {
-  if (!places_.empty()) return false;
+bool PushServer::drained() const {
+  if (!waiting_requests_.empty()) return false;
   return std::all_of(clients_.begin(), clients_.end(), [](const auto& c) {
-    return c.second->stream->queued() == c.second->stream->flushed() && c.second->h2.unsent_body() == 0;
+    return c.second->stream->queued() == c.second->stream->flushed() && c.second->h2.unsent_body_bytes() == 0;
   });
 }
 
-void Front::close(ClientId id, const std::string&, bool abort) {
+void PushServer::close(ClientId id, const std::string&, bool abort) {
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
   // Destroyed later, since this may be called from within the stream's own callbacks.
   std::shared_ptr<Client> c(std::move(it->second));
   clients_.erase(it);
   c->stream->close(abort);
-  for (const auto& [stream, message] : c->taken) lost(message);
-  for (const auto& [stream, r] : c->coming) body_bytes_ -= r.message.body.size();
+  for (const auto& [stream, message] : c->unanswered) on_client_lost(message);
+  for (const auto& [stream, r] : c->incoming) incoming_body_bytes_ -= r.message.body.size();
   if (listener_) listener_->pause(false);
   loop_.defer([c] {});
 }
 
 // Closes connections whose client reads no answers, and answers requests whose body doesn't end in time.
-void Front::sweep() {
+void PushServer::check_stalled() {
   const Time now = loop_.now(), limit = settings_.stalled_after;
   std::vector<ClientId> stalled;
   for (auto& [id, c] : clients_) {
-    const bool owed = c->stream->queued() > c->stream->flushed() || c->h2.unsent_body() > 0;
-    if (!owed || c->stream->flushed() != c->flushed_seen)
-      c->progress_at = now, c->flushed_seen = c->stream->flushed();
+    const bool owed = c->stream->queued() > c->stream->flushed() || c->h2.unsent_body_bytes() > 0;
+    if (!owed || c->stream->flushed() != c->flushed_at_progress)
+      c->progress_at = now, c->flushed_at_progress = c->stream->flushed();
     if (now - c->progress_at > limit) {
       stalled.push_back(id);
       continue;
     }
     std::vector<http2::StreamId> late;
-    for (const auto& [stream, r] : c->coming)
-      if (now - r.since > limit) late.push_back(stream);
+    for (const auto& [stream, r] : c->incoming)
+      if (now - r.received_at > limit) late.push_back(stream);
     for (const auto stream : late) {
       drop_request(*c, stream);
       answer_problem(*c, stream, {408, title_of(408), "the request never came whole"});
@@ -444,7 +447,7 @@
     host_.log("client reads nothing: cut off");
     close(id, "stalled", true);
   }
-  sweep_timer_ = loop_.after(limit / 4 + 1, [this] { sweep(); });
+  stall_check_timer_ = loop_.after(limit / 4 + 1, [this] { check_stalled(); });
 }
 
 }  // namespace cedarplank::gateway
--- a/src/gateway/front.hpp
+++ b/src/gateway/front.hpp
@@ -21,36 +21,37 @@
 namespace cedarplank::gateway {
 
 // The core reports the final answers of messages to it.
-class Front final : public relay::Answers {
+class PushServer final : public relay::AnswerSink {
  public:
   // What the server needs from the relay around it.
   struct Host {
     // Looks up a destination by name; nothing if there is none.
-    std::function<std::optional<DestinationId>(const std::string&)> destination;
+    std::function<std::optional<DestinationId>(const std::string&)> find_destination;
     // Submits a message to the core. If it is accepted, `id_assigned` is called with its id before any final
     // answer can be given.
-    std::function<relay::Entry(relay::NewMessage, const std::function<void(MessageId)>& id_assigned)> take;
+    std::function<relay::AcceptResult(relay::NewMessage, const std::function<void(MessageId)>& id_assigned)>
+        accept;
     // The client no longer wants the message.
     std::function<void(MessageId)> withdraw;
     // How many streams one client may have open now.
-    std::function<int()> streams;
+    std::function<int()> client_streams_max;
     std::function<void(const std::string&)> log;
     // Null if the relay doesn't remember messages that it has answered.
-    relay::Book* book = nullptr;
+    relay::MessageRegistry* message_registry = nullptr;
   };
   // Throws if the address can't be listened on.
-  Front(loop::Loop& loop, const config::RelaySettings& settings, Host host);
-  ~Front() override;
+  PushServer(loop::Loop& loop, const config::RelaySettings& settings, Host host);
+  ~PushServer() override;
 
   // The address listened on, with the port that the system assigned.
   std::string address() const { return listener_->address().text(); }
 
-  void served(MessageId id, const relay::Ending& result) override;
-  void refused(MessageId id, Time wait, const relay::Account& summary) override;
-  void failed(MessageId id, const relay::Account& summary) override;
+  void served(MessageId id, const relay::CallResult& result) override;
+  void refused(MessageId id, Time wait, const relay::AttemptSummary& summary) override;
+  void failed(MessageId id, const relay::AttemptSummary& summary) override;
 
   // Accepts no new requests: closes the listener, and tells clients by GOAWAY which requests were accepted.
-  void stop_taking();
+  void stop_accepting();
   // Whether every accepted request has been answered and every answer was handed to the kernel.
   bool drained() const;
 
@@ -58,7 +59,7 @@
   // A request whose body is still being received.
   struct Request {
     relay::NewMessage message;
-    Time since = 0;  // when its headers were received
+    Time received_at = 0;  // when its headers were received
     // The client's own names, for the lookup of repeated requests.
     std::string destination, message_class, tenant;
     // RFC 8030 section 5.1: answered with 202; the client asks the message resource for the final answer.
@@ -69,11 +70,11 @@
     std::uint64_t id = 0;
     std::unique_ptr<net::Stream> stream;
     http2::Connection h2;
-    std::map<http2::StreamId, Request> coming;   // requests whose body is still being received
-    std::map<http2::StreamId, MessageId> taken;  // accepted requests that have no response yet
+    std::map<http2::StreamId, Request> incoming;      // requests whose body is still being received
+    std::map<http2::StreamId, MessageId> unanswered;  // accepted requests that have no response yet
     // For the stall check: the bytes that the kernel had taken at the last progress, and when that was. While
     // nothing waits to be sent, every check counts as progress.
-    std::uint64_t flushed_seen = 0;
+    std::uint64_t flushed_at_progress = 0;
     Time progress_at = 0;
     // paused: nothing is read from it, because too many bytes of answers wait to be sent. closing: the
     // connection failed and closes once its output is sent.
@@ -88,31 +89,31 @@
   // Checks a request's headers, and answers at once if they are wrong. Otherwise waits for the body.
   void on_request(Client& c, http2::Event& e);
   // The body is complete: submits the message, or answers why it is not accepted.
-  void complete(Client& c, http2::StreamId stream);
+  void submit_request(Client& c, http2::StreamId stream);
   // Requests for a message resource: GET for the message's state, DELETE to cancel it. False if the path
   // names no message resource.
-  bool on_message(Client& c, const http2::Event& e);
+  bool on_message_resource(Client& c, const http2::Event& e);
   // Answers a request whose message the relay knows already by its idempotency key. False if the request is
   // to be submitted as a new message.
-  bool known_already(Client& c, http2::StreamId stream, const Request& r);
+  bool answer_repeat(Client& c, http2::StreamId stream, const Request& r);
   // Answers 202 with the message resource as soon as the message would survive a crash of the relay.
-  void accepted(MessageId id, ClientId client, http2::StreamId stream);
+  void answer_when_durable(MessageId id, ClientId client, http2::StreamId stream);
   // The client's connection ended before the message's final answer.
-  void lost(MessageId id);
+  void on_client_lost(MessageId id);
   // Answers with a final answer that the relay remembers.
-  void answer_entry(Client& c, http2::StreamId stream, const relay::Book::Entry& e);
+  void answer_remembered(Client& c, http2::StreamId stream, const relay::MessageRegistry::Entry& e);
   // Forgets a request whose body is still being received.
   void drop_request(Client& c, http2::StreamId stream);
   void answer(Client& c, http2::StreamId stream, http2::Headers headers, const std::string& body = {});
   void answer_problem(Client& c, http2::StreamId stream, const Problem& p, http2::Headers extra = {});
   // Answers the request that waits for the message, if its client is still connected.
-  void final_answer(MessageId id, http2::Headers headers, const std::string& body = {});
+  void answer_waiting_request(MessageId id, http2::Headers headers, const std::string& body = {});
   // The name by which clients know a message: "<relay name>-<id>".
   std::string message_name(MessageId id) const { return settings_.name + "-" + std::to_string(id); }
   void flush(Client& c);
   void close(ClientId id, const std::string& why, bool abort);
   // Runs regularly: closes stalled connections and answers requests whose body takes too long.
-  void sweep();
+  void check_stalled();
 
   loop::Loop& loop_;
   const config::RelaySettings& settings_;
@@ -120,12 +121,13 @@
   std::unique_ptr<net::Listener> listener_;
   std::map<ClientId, std::unique_ptr<Client>> clients_;
   // The request that waits for each message's final answer.
-  std::map<MessageId, std::pair<ClientId, http2::StreamId>> places_;
-  relay::Intake intake_;
+  std::map<MessageId, std::pair<ClientId, http2::StreamId>> waiting_requests_;
+  relay::RequestValidator request_validator_;
   ClientId next_client_ = 1;
-  std::size_t body_bytes_ = 0;  // received for requests whose body is not complete yet, on all connections
+  std::size_t incoming_body_bytes_ =
+      0;  // received for requests whose body is not complete yet, on all connections
   bool stopping_ = false;
-  loop::TimerId sweep_timer_ = 0;
+  loop::TimerId stall_check_timer_ = 0;
   // Set to false by the destructor, for callbacks that outlive this object.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/gateway/push_link.cpp
+++ b/src/gateway/push_link.cpp
@@ -13,8 +13,8 @@
 }  // namespace
 
 PushLink::PushLink(loop::Loop& loop, const config::RelaySettings& settings,
-                   const config::PartnerEndpoint& endpoint, pool::LinkId id, back::Driver& driver, Host host,
-                   const Connector& connector)
+                   const config::PartnerEndpoint& endpoint, pool::LinkId id, back::EndpointDriver& driver,
+                   Host host, const Connector& connector)
     : loop_(loop),
       settings_(settings),
       endpoint_(endpoint),
@@ -24,8 +24,8 @@
   net::Stream::Handlers handlers;
   handlers.connected = [this] { flush(); };
   handlers.data = [this](std::string_view bytes) { receive(bytes); };
-  handlers.drained = [this] { driver_.touched(endpoint_.id); };
-  handlers.closed = [this](const std::string& why) { driver_.gone(endpoint_.id, id_, why); };
+  handlers.drained = [this] { driver_.connection_changed(endpoint_.id); };
+  handlers.closed = [this](const std::string& why) { driver_.connection_closed(endpoint_.id, id_, why); };
   // The connect time-out covers the wait for the endpoint's SETTINGS as well, not only the socket's connect.
   const auto to = net::Address::parse(endpoint_.address);
   const Time timeout = settings_.dispatcher.connect_timeout;
@@ -39,19 +39,19 @@
 
 // No call is written behind bytes that the endpoint hasn't read yet, because such a call could no longer be
 // cancelled before it leaves.
-bool PushLink::takes_more() const {
-  return h2_.can_request() && stream_->queued() == stream_->flushed() && h2_.unsent_body() == 0;
+bool PushLink::can_send() const {
+  return h2_.can_request() && stream_->queued() == stream_->flushed() && h2_.unsent_body_bytes() == 0;
 }
 
-std::optional<back::Link::Room> PushLink::room() {
-  if (!h2_.standing()) return std::nullopt;
+std::optional<back::Link::Capacity> PushLink::room() {
+  if (!h2_.established()) return std::nullopt;
   // Streams whose response body is still being received count too; the pool doesn't know of them.
-  const bool full = h2_.streams() >= static_cast<std::size_t>(settings_.endpoint_streams_max);
-  return Room{h2_.peer_max_streams(), full || !takes_more()};
+  const bool full = h2_.open_streams() >= static_cast<std::size_t>(settings_.endpoint_streams_max);
+  return Capacity{h2_.peer_max_streams(), full || !can_send()};
 }
 
-back::Link::Submitted PushLink::submit(const relay::CallOrder& call, Time left) {
-  if (!takes_more()) return {Submitted::Went::no_room, 0, {}};
+back::Link::SubmitResult PushLink::submit(const relay::OutgoingCall& call, Time left) {
+  if (!can_send()) return {SubmitResult::Status::no_capacity, 0, {}};
   const relay::NewMessage& m = *call.message;
   http2::Headers headers = {{":method", "POST"},
                             {":scheme", "http"},
@@ -70,24 +70,24 @@
   add("content-type", m.content_type);
   add("content-encoding", m.content_encoding);
   headers.push_back({"content-length", std::to_string(m.body.size())});
-  Out out;
-  out.begins_at = stream_->queued() + h2_.output_size();
+  SentCall out;
+  out.begin_offset = stream_->queued() + h2_.output_size();
   out.stream = h2_.request(headers, m.body);
-  calls_[out.stream] = call.id, out_[call.id] = out;
+  calls_by_stream_[out.stream] = call.id, sent_calls_[call.id] = out;
   flush();
-  return {Submitted::Went::yes, out.stream, {}};
+  return {SubmitResult::Status::sent, out.stream, {}};
 }
 
-void PushLink::end_stream(http2::StreamId stream, relay::Ending result) {
-  const auto it = calls_.find(stream);
-  if (it == calls_.end()) return;
+void PushLink::finish_call(http2::StreamId stream, relay::CallResult result) {
+  const auto it = calls_by_stream_.find(stream);
+  if (it == calls_by_stream_.end()) return;
   const auto call = it->second;
-  calls_.erase(it), out_.erase(call);
-  driver_.answered(endpoint_.id, id_, call, std::move(result));
+  calls_by_stream_.erase(it), sent_calls_.erase(call);
+  driver_.call_answered(endpoint_.id, id_, call, std::move(result));
 }
 
 void PushLink::receive(std::string_view bytes) {
-  driver_.heard(endpoint_.id, id_);
+  driver_.data_received(endpoint_.id, id_);
   std::vector<http2::Event> events;
   h2_.receive(loop_.now(), bytes, events);
   for (auto& e : events) on_event(e);
@@ -97,7 +97,7 @@
     for (const auto& e : events)
       if (e.type == http2::Event::Type::failed) why = e.data;
     host_.log("endpoint " + endpoint_.id + ": " + why);
-    return driver_.gone(endpoint_.id, id_, why);
+    return driver_.connection_closed(endpoint_.id, id_, why);
   }
   tidy();
   driver_.pump(endpoint_.id);
@@ -107,47 +107,48 @@
   using Type = http2::Event::Type;
   switch (e.type) {
     case Type::settings:
-      driver_.standing(endpoint_.id, id_, h2_.peer_max_streams());
+      driver_.connection_ready(endpoint_.id, id_, h2_.peer_max_streams());
       break;
     case Type::headers: {
-      if (calls_.count(e.stream) == 0) break;
-      if (!e.end_stream) tails_[e.stream] = {loop_.now(), 0};
+      if (calls_by_stream_.count(e.stream) == 0) break;
+      if (!e.end_stream) unfinished_responses_[e.stream] = {loop_.now(), 0};
       const auto kind = static_cast<std::size_t>(endpoint_.kind);
-      const auto wire = kind < settings_.kind_wire.size() ? settings_.kind_wire[kind] : config::KindWire{};
-      end_stream(e.stream, ending_of_response(e.headers, wire, host_.wall()));
+      const auto wire =
+          kind < settings_.kind_protocols.size() ? settings_.kind_protocols[kind] : config::KindProtocol{};
+      finish_call(e.stream, result_of_response(e.headers, wire, host_.wall_clock()));
       break;
     }
     case Type::data: {
-      const auto it = tails_.find(e.stream);
-      if (it == tails_.end()) break;
+      const auto it = unfinished_responses_.find(e.stream);
+      if (it == unfinished_responses_.end()) break;
       it->second.second += e.data.size();
       if (e.end_stream) {
-        tails_.erase(it);
+        unfinished_responses_.erase(it);
       } else if (it->second.second > kMaxIgnoredBodyBytes) {
-        tails_.erase(it);
+        unfinished_responses_.erase(it);
         h2_.reset(e.stream, http2::ErrorCode::cancel);
       }
       break;
     }
     case Type::trailers:
-      tails_.erase(e.stream);
+      unfinished_responses_.erase(e.stream);
       break;
     case Type::reset: {
-      tails_.erase(e.stream);
+      unfinished_responses_.erase(e.stream);
       const bool refused = !e.local && e.code == http2::ErrorCode::refused_stream;
-      end_stream(e.stream, refused ? ending_of_break(Break::refused_stream, e.code, "")
-                                   : ending_of_break(Break::reset, e.code, e.data));
+      finish_call(e.stream, refused ? result_of_interruption(Interruption::refused_stream, e.code, "")
+                                    : result_of_interruption(Interruption::reset, e.code, e.data));
       break;
     }
     case Type::unprocessed:
-      tails_.erase(e.stream);
-      end_stream(e.stream, ending_of_break(Break::goaway, e.code, ""));
+      unfinished_responses_.erase(e.stream);
+      finish_call(e.stream, result_of_interruption(Interruption::goaway, e.code, ""));
       break;
     case Type::ping_ack:
-      driver_.pong(endpoint_.id, id_);
+      driver_.pong_received(endpoint_.id, id_);
       break;
     case Type::goaway:
-      driver_.draining(endpoint_.id, id_);
+      driver_.connection_draining(endpoint_.id, id_);
       break;
     case Type::failed:
       break;
@@ -156,21 +157,21 @@
 
 // Resets streams whose response body doesn't end in time; they would count against the stream limit for ever.
 void PushLink::tidy() {
-  for (auto it = tails_.begin(); it != tails_.end();) {
+  for (auto it = unfinished_responses_.begin(); it != unfinished_responses_.end();) {
     const auto [stream, tail] = *it;
     const bool late = loop_.now() - tail.first > settings_.stalled_after;
     if (late) h2_.reset(stream, http2::ErrorCode::cancel);
-    it = late ? tails_.erase(it) : std::next(it);
+    it = late ? unfinished_responses_.erase(it) : std::next(it);
   }
   flush();
 }
 
 void PushLink::reset(relay::CallId call) {
-  const auto it = out_.find(call);
-  if (it == out_.end()) return;
-  calls_.erase(it->second.stream);
+  const auto it = sent_calls_.find(call);
+  if (it == sent_calls_.end()) return;
+  calls_by_stream_.erase(it->second.stream);
   h2_.reset(it->second.stream, http2::ErrorCode::cancel);
-  out_.erase(it);
+  sent_calls_.erase(it);
   flush();
 }
 
@@ -185,11 +186,12 @@
   stream_->finish(kCloseLinger);
 }
 
-relay::Ending PushLink::ending_when_lost(relay::CallId call, const std::string& why) {
-  const auto it = out_.find(call);
+relay::CallResult PushLink::ending_when_lost(relay::CallId call, const std::string& why) {
+  const auto it = sent_calls_.find(call);
   // If not a byte of it was handed to the kernel, the call can't have run.
-  const bool may_have_left = it == out_.end() || stream_->flushed() > it->second.begins_at;
-  return ending_of_break(may_have_left ? Break::reset : Break::unsent, http2::ErrorCode::no_error, why);
+  const bool may_have_left = it == sent_calls_.end() || stream_->flushed() > it->second.begin_offset;
+  return result_of_interruption(may_have_left ? Interruption::reset : Interruption::unsent,
+                                http2::ErrorCode::no_error, why);
 }
 
 }  // namespace cedarplank::gateway
--- a/src/gateway/semantics.cpp
+++ b/src/gateway/semantics.cpp
@@ -72,11 +72,11 @@
   return std::clamp<std::int64_t>(seconds, 0, kMaxToldWaitSeconds) * 1'000'000;
 }
 
-relay::Ending ending_of_response(const http2::Headers& headers, const config::KindWire& kind,
-                                 std::int64_t wall_clock) {
-  relay::Ending e;
+relay::CallResult result_of_response(const http2::Headers& headers, const config::KindProtocol& kind,
+                                     std::int64_t wall_clock) {
+  relay::CallResult e;
   const auto status = http2::find_header(headers, ":status");
-  e.what = "status " + std::string(status);
+  e.detail = "status " + std::string(status);
   if (status[0] == '2') {
     e.outcome = Outcome::served;
     e.location = http2::find_header(headers, "location");
@@ -96,28 +96,28 @@
   return e;
 }
 
-relay::Ending ending_of_break(Break how, http2::ErrorCode code, const std::string& why) {
-  relay::Ending e;
-  e.what = why;
+relay::CallResult result_of_interruption(Interruption how, http2::ErrorCode code, const std::string& why) {
+  relay::CallResult e;
+  e.detail = why;
   switch (how) {
-    case Break::no_connection:
+    case Interruption::no_connection:
       e.outcome = Outcome::connect_failed;
       break;
-    case Break::refused_stream:
-      e.outcome = Outcome::full, e.what = "REFUSED_STREAM";
+    case Interruption::refused_stream:
+      e.outcome = Outcome::full, e.detail = "REFUSED_STREAM";
       break;
-    case Break::goaway:
+    case Interruption::goaway:
       // An orderly shutdown (NO_ERROR) says nothing about the endpoint's load; any other code counts as a
       // refusal.
       e.outcome = code == http2::ErrorCode::no_error ? Outcome::not_sent : Outcome::full;
-      e.what = std::string("GOAWAY ") + http2::name_of(code);
+      e.detail = std::string("GOAWAY ") + http2::name_of(code);
       break;
-    case Break::unsent:
+    case Interruption::unsent:
       e.outcome = Outcome::connect_failed;
       break;
-    case Break::reset:
+    case Interruption::reset:
       e.outcome = Outcome::reset;
-      if (e.what.empty()) e.what = std::string("reset: ") + http2::name_of(code);
+      if (e.detail.empty()) e.detail = std::string("reset: ") + http2::name_of(code);
       break;
   }
   return e;
@@ -165,8 +165,8 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::string message_body(const std::string& message, const relay::Book::Entry& e) {
-  using State = relay::Book::Entry::What;
+std::string message_body(const std::string& message, const relay::MessageRegistry::Entry& e) {
+  using State = relay::MessageRegistry::Entry::State;
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
   const auto text = [&](const char* key, const std::string& value) {
@@ -175,13 +175,13 @@
   w.StartObject();
   text("message", message);
   text("class", e.message_class);
-  if (e.what == State::held)
+  if (e.state == State::held)
     w.Key("answer"), w.Null();
   else
-    text("answer", e.what == State::served ? "served" : e.what == State::refused ? "refused" : "failed");
-  w.Key("attempts"), w.Int(e.account.attempts);
-  if (!e.account.last.empty()) text("last_outcome", e.account.last);
-  if (e.what == State::refused && e.come_back > 0)
+    text("answer", e.state == State::served ? "served" : e.state == State::refused ? "refused" : "failed");
+  w.Key("attempts"), w.Int(e.summary.attempts);
+  if (!e.summary.last_outcome.empty()) text("last_outcome", e.summary.last_outcome);
+  if (e.state == State::refused && e.come_back > 0)
     w.Key("retry_after"), w.Int64((e.come_back + 999'999) / 1'000'000);
   w.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
@@ -204,6 +204,8 @@
   return false;
 }
 
-std::string retry_after(Time wait) { return std::to_string(std::max<Time>(1, (wait + 999'999) / 1'000'000)); }
+std::string format_retry_after(Time wait) {
+  return std::to_string(std::max<Time>(1, (wait + 999'999) / 1'000'000));
+}
 
 }  // namespace cedarplank::gateway
--- a/src/gateway/semantics.hpp
+++ b/src/gateway/semantics.hpp
@@ -15,7 +15,7 @@
 namespace cedarplank::gateway {
 
 // How a call ended without a final response.
-enum class Break {
+enum class Interruption {
   no_connection,   // not connected, or no SETTINGS received: nothing of the call had been sent
   refused_stream,  // RST_STREAM(REFUSED_STREAM): not processed (RFC 9113 section 8.7)
   goaway,          // GOAWAY with a lower last stream: not processed (RFC 9113 section 6.8)
@@ -25,11 +25,11 @@
 
 // The outcome of a final response. `wall_clock` is the time of day in seconds since 1970, for Retry-After
 // dates.
-relay::Ending ending_of_response(const http2::Headers& headers, const config::KindWire& kind,
-                                 std::int64_t wall_clock);
+relay::CallResult result_of_response(const http2::Headers& headers, const config::KindProtocol& kind,
+                                     std::int64_t wall_clock);
 // The outcome of a call that got no final response. `why` is the reason for traces and answers; where an RFC
 // name says it, that is used instead.
-relay::Ending ending_of_break(Break how, http2::ErrorCode code, const std::string& why);
+relay::CallResult result_of_interruption(Interruption how, http2::ErrorCode code, const std::string& why);
 
 // Retry-After (RFC 9110 section 10.2.3): seconds, or a date, counted from the response's Date if it has one.
 // In us; 0 if there is none or it can't be parsed. Limited to one day.
@@ -59,11 +59,11 @@
 
 // JSON body of a message resource: message, class, answer (null while the message is held), attempts,
 // last_outcome, and retry_after where a refused message was given one.
-std::string message_body(const std::string& message, const relay::Book::Entry& entry);
+std::string message_body(const std::string& message, const relay::MessageRegistry::Entry& entry);
 // Whether a Prefer field (RFC 7240) has this preference; `name` is in lower case.
 bool has_preference(std::string_view prefer, std::string_view name);
 
 // The value of Retry-After for a wait in us: whole seconds, rounded up so that clients don't retry too early.
-std::string retry_after(Time wait);
+std::string format_retry_after(Time wait);
 
 }  // namespace cedarplank::gateway
--- a/src/http1/message.cpp
+++ b/src/http1/message.cpp
@@ -67,43 +67,43 @@
   return std::any_of(fields.begin(), fields.end(), [&](const Field& f) { return f.name == name; });
 }
 
-bool Reader::fail(int status, const char* problem) {
-  state_ = State::broken, status_ = status, problem_ = problem;
+bool Parser::fail(int status, const char* problem) {
+  state_ = State::broken, error_status_ = status, problem_ = problem;
   return false;
 }
 
-void Reader::begin() {
+void Parser::reset_message() {
   message_ = {};
-  line_.clear();
-  head_ = 0, left_ = 0;
-  part_ = Part::start, expects_continue_ = false;
+  partial_line_.clear();
+  head_bytes_ = 0, remaining_ = 0;
+  expected_ = Expected::start, expects_continue_ = false;
 }
 
-void Reader::next() {
+void Parser::next() {
   if (state_ == State::broken) return;
-  begin();
+  reset_message();
   state_ = State::waiting;
-  interim_ = empty_ = first_line_ = 0;
+  interim_responses_ = empty_lines_ = response_status_ = 0;
 }
 
-void Reader::finish() { state_ = State::complete; }
+void Parser::finish() { state_ = State::complete; }
 
-std::size_t Reader::take(std::string_view bytes) {
+std::size_t Parser::consume(std::string_view bytes) {
   std::size_t at = 0;
   while (at < bytes.size() && state_ != State::complete && state_ != State::broken) {
     const std::string_view rest = bytes.substr(at);
-    if (part_ == Part::counted || part_ == Part::chunk) {
-      const auto n = static_cast<std::size_t>(std::min<std::uint64_t>(left_, rest.size()));
+    if (expected_ == Expected::fixed_length || expected_ == Expected::chunk) {
+      const auto n = static_cast<std::size_t>(std::min<std::uint64_t>(remaining_, rest.size()));
       message_.body.append(rest.substr(0, n));
-      at += n, left_ -= n;
-      if (left_ > 0) continue;
-      if (part_ == Part::counted)
+      at += n, remaining_ -= n;
+      if (remaining_ > 0) continue;
+      if (expected_ == Expected::fixed_length)
         finish();
       else
-        part_ = Part::chunk_end;
+        expected_ = Expected::chunk_end;
       continue;
     }
-    if (part_ == Part::to_end) {
+    if (expected_ == Expected::until_close) {
       if (message_.body.size() + rest.size() > bounds_.body) {
         fail(413, "a body longer than allowed");
         break;
@@ -114,74 +114,76 @@
     if (state_ == State::waiting) state_ = State::head;
     const auto end = rest.find('\n');
     const auto n = end == std::string_view::npos ? rest.size() : end + 1;
-    const bool chunk_line = part_ == Part::chunk_size || part_ == Part::chunk_end;
-    head_ += chunk_line ? 0 : n;
-    if (chunk_line && line_.size() + n > kMaxChunkLineBytes) {
+    const bool chunk_line = expected_ == Expected::chunk_size || expected_ == Expected::chunk_end;
+    head_bytes_ += chunk_line ? 0 : n;
+    if (chunk_line && partial_line_.size() + n > kMaxChunkLineBytes) {
       fail(400, "a chunk's line is too long");
       break;
     }
-    if (head_ > bounds_.head) {
+    if (head_bytes_ > bounds_.head) {
       fail(431, "a head longer than allowed");
       break;
     }
-    line_.append(rest.substr(0, n));
+    partial_line_.append(rest.substr(0, n));
     at += n;
     if (end == std::string_view::npos) {
       // A bare carriage return does not end a line: rejected as soon as it is seen (RFC 9112 section 2.2).
-      const auto cr = line_.find('\r');
-      if (cr != std::string::npos && cr + 1 < line_.size()) fail(400, "a carriage return within a line");
+      const auto cr = partial_line_.find('\r');
+      if (cr != std::string::npos && cr + 1 < partial_line_.size())
+        fail(400, "a carriage return within a line");
       continue;
     }
-    if (line_.size() < 2 || line_[line_.size() - 2] != '\r') {
+    if (partial_line_.size() < 2 || partial_line_[partial_line_.size() - 2] != '\r') {
       fail(400, "a line that ends without a carriage return");
       break;
     }
     std::string whole;
-    whole.swap(line_);
+    whole.swap(partial_line_);
     const std::string_view text = std::string_view(whole).substr(0, whole.size() - 2);
     if (text.find('\r') != std::string_view::npos) {
       fail(400, "a carriage return within a line");
       break;
     }
-    if (!line(text)) break;
+    if (!handle_line(text)) break;
   }
   return at;
 }
 
-void Reader::end() {
-  if (state_ == State::body && part_ == Part::to_end)
+void Parser::end_of_input() {
+  if (state_ == State::body && expected_ == Expected::until_close)
     finish();
   else if (state_ != State::waiting && state_ != State::complete && state_ != State::broken)
     fail(400, "it ended in the middle");
 }
 
-bool Reader::line(std::string_view text) {
-  switch (part_) {
-    case Part::start:
+bool Parser::handle_line(std::string_view text) {
+  switch (expected_) {
+    case Expected::start:
       // One empty line before a request is ignored (RFC 9112 section 2.2).
-      if (text.empty() && side_ == Side::requests && empty_++ == 0) return state_ = State::waiting, true;
-      return start_line(text);
-    case Part::fields:
-      return text.empty() ? head_done() : field_line(text);
-    case Part::chunk_size:
-      return chunk_line(text);
-    case Part::chunk_end:
+      if (text.empty() && side_ == Side::requests && empty_lines_++ == 0)
+        return state_ = State::waiting, true;
+      return parse_start_line(text);
+    case Expected::fields:
+      return text.empty() ? finish_head() : parse_field(text);
+    case Expected::chunk_size:
+      return parse_chunk_size(text);
+    case Expected::chunk_end:
       if (!text.empty()) return fail(400, "a chunk is longer than it says");
-      part_ = Part::chunk_size;
+      expected_ = Expected::chunk_size;
       return true;
-    case Part::trailers:
+    case Expected::trailers:
       if (!text.empty()) return true;  // not used, so not stored (RFC 9112 section 7.1.2)
       finish();
       return true;
-    case Part::counted:
-    case Part::to_end:
-    case Part::chunk:
+    case Expected::fixed_length:
+    case Expected::until_close:
+    case Expected::chunk:
       break;
   }
   return true;
 }
 
-bool Reader::start_line(std::string_view text) {
+bool Parser::parse_start_line(std::string_view text) {
   const auto version = [&](std::string_view v) {
     if (v.size() != 8 || v.substr(0, 5) != "HTTP/" || v[6] != '.' || !all_digits(v.substr(5, 1)) ||
         !all_digits(v.substr(7, 1)))
@@ -207,13 +209,13 @@
       return fail(502, "no status line");
     if (!version(text.substr(0, 8))) return false;
     message_.status = (text[9] - '0') * 100 + (text[10] - '0') * 10 + (text[11] - '0');
-    if (message_.status >= 200) first_line_ = message_.status;
+    if (message_.status >= 200) response_status_ = message_.status;
   }
-  part_ = Part::fields;
+  expected_ = Expected::fields;
   return true;
 }
 
-bool Reader::field_line(std::string_view text) {
+bool Parser::parse_field(std::string_view text) {
   if (text.front() == ' ' || text.front() == '\t') return fail(400, "a folded line");
   const auto colon = text.find(':');
   if (colon == std::string_view::npos || !is_token(text.substr(0, colon)) ||
@@ -224,22 +226,22 @@
   return true;
 }
 
-bool Reader::head_done() {
+bool Parser::finish_head() {
   if (side_ == Side::responses && message_.status < 200) {
     if (message_.status == 101) return fail(502, "another protocol, not asked for");
-    if (++interim_ > kMaxInterimResponses) return fail(502, "interim answers without end");
-    begin();
+    if (++interim_responses_ > kMaxInterimResponses) return fail(502, "interim answers without end");
+    reset_message();
     state_ = State::head;
     return true;
   }
   const bool closing = list_contains(message_, "connection", "close");
   message_.close = closing || (message_.minor == 0 && !list_contains(message_, "connection", "keep-alive"));
   state_ = State::body;
-  return framing();
+  return determine_body_length();
 }
 
 // Determines the length of the body: RFC 9112 section 6.3.
-bool Reader::framing() {
+bool Parser::determine_body_length() {
   const bool coded = message_.has("transfer-encoding"), counted = message_.has("content-length");
   if (coded && counted) return fail(400, "both Content-Length and Transfer-Encoding");
   if (side_ == Side::requests && message_.minor >= 1 && message_.find("host") == nullptr)
@@ -249,18 +251,18 @@
     const auto* coding = message_.find("transfer-encoding");
     if (coding == nullptr || message_.minor == 0) return fail(400, "a Transfer-Encoding that can't be told");
     if (lower(*coding) != "chunked") return fail(501, "a transfer coding other than chunked");
-    part_ = Part::chunk_size, head_ = 0;
+    expected_ = Expected::chunk_size, head_bytes_ = 0;
   } else if (counted) {
     const auto* length = message_.find("content-length");
     if (length == nullptr || !all_digits(*length)) return fail(400, "a Content-Length that is no number");
-    if (length->size() > 18 || (left_ = std::stoull(*length)) > bounds_.body)
+    if (length->size() > 18 || (remaining_ = std::stoull(*length)) > bounds_.body)
       return fail(413, "a body longer than allowed");
-    if (left_ == 0) return finish(), true;
-    part_ = Part::counted;
+    if (remaining_ == 0) return finish(), true;
+    expected_ = Expected::fixed_length;
   } else if (side_ == Side::requests) {
     return finish(), true;
   } else {
-    part_ = Part::to_end, message_.close = true;
+    expected_ = Expected::until_close, message_.close = true;
   }
   if (side_ == Side::requests && message_.has("expect")) {
     const auto* expect = message_.find("expect");
@@ -271,7 +273,7 @@
   return true;
 }
 
-bool Reader::chunk_line(std::string_view text) {
+bool Parser::parse_chunk_size(std::string_view text) {
   const auto hex = text.substr(0, text.find_first_of("; \t"));
   if (hex.empty() || hex.size() > 8) return fail(400, "a chunk without a size");
   std::uint64_t size = 0;
@@ -283,8 +285,8 @@
   if (hex.size() < text.size() && trimmed(text.substr(hex.size())).substr(0, 1) != ";")
     return fail(400, "a chunk's size is followed by something else");
   if (message_.body.size() + size > bounds_.body) return fail(413, "a body longer than allowed");
-  left_ = size;
-  part_ = size == 0 ? Part::trailers : Part::chunk;
+  remaining_ = size;
+  expected_ = size == 0 ? Expected::trailers : Expected::chunk;
   return true;
 }
 
@@ -339,8 +341,8 @@
 }
 }  // namespace
 
-std::string request(std::string_view method, std::string_view target, std::string_view host,
-                    const std::vector<Field>& fields, std::string_view body) {
+std::string build_request(std::string_view method, std::string_view target, std::string_view host,
+                          const std::vector<Field>& fields, std::string_view body) {
   std::string out;
   out.reserve(256 + body.size());
   out.append(method).append(" ").append(target).append(" HTTP/1.1\r\nHost: ").append(host).append("\r\n");
@@ -350,7 +352,7 @@
   return out;
 }
 
-std::string response(int status, const std::vector<Field>& fields, std::string_view body, bool close) {
+std::string build_response(int status, const std::vector<Field>& fields, std::string_view body, bool close) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status) + "\r\n";
   append_fields(out, fields);
   if (status >= 200 && status != 204) out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
@@ -359,7 +361,7 @@
   return out;
 }
 
-bool seconds_of(std::string_view text, std::int64_t& us) {
+bool parse_seconds(std::string_view text, std::int64_t& us) {
   constexpr std::int64_t kMost = 172'800'000'000;  // two days
   const auto point = text.find('.');
   const auto whole = text.substr(0, point);
@@ -373,7 +375,7 @@
   return true;
 }
 
-std::string seconds_text(std::int64_t us) {
+std::string format_seconds(std::int64_t us) {
   const std::int64_t ms = us <= 0 ? 0 : (us + 999) / 1000;
   std::string part = std::to_string(ms % 1000);
   return std::to_string(ms / 1000) + "." + std::string(3 - part.size(), '0') + part;
--- a/src/http1/message.hpp
+++ b/src/http1/message.hpp
@@ -36,7 +36,7 @@
 };
 
 // Parses the messages of one connection, one after the other.
-class Reader {
+class Parser {
  public:
   enum class Side { requests, responses };
   enum class State {
@@ -46,23 +46,23 @@
     complete,  // the message is complete, until next() is called
     broken     // the message is malformed or too long: see problem(); nothing more can be read
   };
-  explicit Reader(Side side, Bounds bounds = {}) : side_(side), bounds_(bounds) {}
+  explicit Parser(Side side, Bounds bounds = {}) : side_(side), bounds_(bounds) {}
 
   // Consumes bytes up to the end of one message. Returns how many; the rest belongs to the next message.
-  std::size_t take(std::string_view bytes);
+  std::size_t consume(std::string_view bytes);
   // The peer sends nothing more: completes a response whose body lasts until the connection ends (RFC 9112
   // section 6.3 (8)).
-  void end();
+  void end_of_input();
   // Starts with the next message.
   void next();
 
   State state() const { return state_; }
   // The status of a response whose status line could be read, else 0. Interim responses (1xx) do not count.
-  int first_line() const { return first_line_; }
+  int response_status() const { return response_status_; }
   const Message& message() const { return message_; }
   Message& message() { return message_; }
   // If broken: the status that a server answers with, and the reason.
-  int status() const { return status_; }
+  int error_status() const { return error_status_; }
   const char* problem() const { return problem_; }
   // Whether the client waits for "100 Continue" before it sends the body (RFC 9110 section 10.1.1).
   bool expects_continue() const { return state_ == State::body && expects_continue_; }
@@ -70,42 +70,42 @@
  private:
   // What comes next in the message. A body is read by its Content-Length, until the connection ends, or in
   // chunks.
-  enum class Part { start, fields, counted, to_end, chunk_size, chunk, chunk_end, trailers };
+  enum class Expected { start, fields, fixed_length, until_close, chunk_size, chunk, chunk_end, trailers };
   // These handle a line without its end, the end of the head, and the body's length; false: broken.
-  bool line(std::string_view text);
-  bool start_line(std::string_view text);
-  bool field_line(std::string_view text);
-  bool chunk_line(std::string_view text);
-  bool head_done();
-  bool framing();
+  bool handle_line(std::string_view text);
+  bool parse_start_line(std::string_view text);
+  bool parse_field(std::string_view text);
+  bool parse_chunk_size(std::string_view text);
+  bool finish_head();
+  bool determine_body_length();
   bool fail(int status, const char* problem);
   void finish();
-  void begin();
+  void reset_message();
 
   Side side_;
   Bounds bounds_;
   State state_ = State::waiting;
-  Part part_ = Part::start;
+  Expected expected_ = Expected::start;
   Message message_;
-  std::string line_;             // a line whose end has not arrived
-  std::size_t head_ = 0;         // bytes of the head, or of the trailers, so far
-  std::uint64_t left_ = 0;       // bytes of the body, or of this chunk, still to come
-  int interim_ = 0, empty_ = 0;  // interim responses, and empty lines, before this message
-  int first_line_ = 0, status_ = 0;
+  std::string partial_line_;                     // a line whose end has not arrived
+  std::size_t head_bytes_ = 0;                   // bytes of the head, or of the trailers, so far
+  std::uint64_t remaining_ = 0;                  // bytes of the body, or of this chunk, still to come
+  int interim_responses_ = 0, empty_lines_ = 0;  // interim responses, and empty lines, before this message
+  int response_status_ = 0, error_status_ = 0;
   const char* problem_ = "";
   bool expects_continue_ = false;
 };
 
 // Build complete messages. Content-Length is added where there is a body or may be one.
-std::string request(std::string_view method, std::string_view target, std::string_view host,
-                    const std::vector<Field>& fields, std::string_view body);
-std::string response(int status, const std::vector<Field>& fields, std::string_view body, bool close);
+std::string build_request(std::string_view method, std::string_view target, std::string_view host,
+                          const std::vector<Field>& fields, std::string_view body);
+std::string build_response(int status, const std::vector<Field>& fields, std::string_view body, bool close);
 const char* reason_phrase(int status);
 
 // Reads a number of seconds from a header, whole or decimal (digits with at most one point), into
 // microseconds; larger values become two days. Returns false for anything else.
-bool seconds_of(std::string_view text, std::int64_t& us);
+bool parse_seconds(std::string_view text, std::int64_t& us);
 // A number of seconds for a header, rounded up to milliseconds.
-std::string seconds_text(std::int64_t us);
+std::string format_seconds(std::int64_t us);
 
 }  // namespace cedarplank::http1
--- a/src/http2/connection.cpp
+++ b/src/http2/connection.cpp
@@ -37,10 +37,10 @@
   return std::any_of(headers.begin(), headers.end(), [&](const Header& h) { return h.name == name; });
 }
 
-bool Connection::Bucket::take(Time now, double burst, double rate) {
-  if (at == 0) tokens = burst;
-  tokens = std::min(burst, tokens + rate * static_cast<double>(now - at) * 1e-6);
-  at = std::max<Time>(now, 1);
+bool Connection::TokenBucket::take(Time now, double burst, double rate) {
+  if (refilled_at == 0) tokens = burst;
+  tokens = std::min(burst, tokens + rate * static_cast<double>(now - refilled_at) * 1e-6);
+  refilled_at = std::max<Time>(now, 1);
   if (tokens < 1) return false;
   tokens -= 1;
   return true;
@@ -51,10 +51,10 @@
       local_(local),
       limits_(limits),
       next_stream_(role == Role::client ? 1 : 2),
-      streams_announced_(local.max_concurrent_streams),
-      streams_allowed_(local.max_concurrent_streams) {
+      announced_stream_limit_(local.max_concurrent_streams),
+      enforced_stream_limit_(local.max_concurrent_streams) {
   // Section 3.4: the client's preface, then SETTINGS from either side as the first frame.
-  if (role == Role::client) out_.append(kPreface);
+  if (role == Role::client) output_.append(kClientPreface);
   std::vector<std::pair<Setting, std::uint32_t>> settings = {
       {Setting::initial_window_size, local.initial_window_size},
       {Setting::max_header_list_size, local.max_header_list_size}};
@@ -65,17 +65,17 @@
     settings.emplace_back(Setting::enable_push, 0);
   else
     settings.emplace_back(Setting::max_concurrent_streams, local.max_concurrent_streams);
-  put_settings(settings, out_);
+  put_settings(settings, output_);
   if (local.connection_window > 65'535) {
-    put_window_update(0, local.connection_window - 65'535, out_);
+    put_window_update(0, local.connection_window - 65'535, output_);
     receive_window_ = local.connection_window;
   }
 }
 
 std::string Connection::take_output() {
-  replies_ = 0;
+  unsent_replies_ = 0;
   std::string bytes;
-  bytes.swap(out_);
+  bytes.swap(output_);
   return bytes;
 }
 
@@ -90,26 +90,26 @@
   // Section 5.4.1: GOAWAY with the last stream that was processed, then the connection is closed.
   if (failed_) return false;
   failed_ = true;
-  put_goaway(std::min(last_peer_stream_, goaway_last_sent_), code, why.substr(0, 200), out_);
+  put_goaway(std::min(last_peer_stream_, goaway_last_sent_), code, why.substr(0, 200), output_);
   Event& e = emit(Event::Type::failed, 0);
   e.local = true, e.code = code, e.data = why;
-  streams_.clear(), pending_.clear(), peer_streams_ = 0, unsent_body_ = 0;
+  streams_.clear(), waiting_streams_.clear(), peer_stream_count_ = 0, unsent_body_bytes_ = 0;
   return false;
 }
 
-void Connection::forget_reset(StreamId id) {
-  if (!reset_recently_.insert(id).second) return;
-  reset_order_.push_back(id);
-  if (reset_order_.size() > kMaxRememberedResets) {
-    reset_recently_.erase(reset_order_.front());
-    reset_order_.pop_front();
+void Connection::remember_reset(StreamId id) {
+  if (!recent_resets_.insert(id).second) return;
+  recent_resets_by_age_.push_back(id);
+  if (recent_resets_by_age_.size() > kMaxRememberedResets) {
+    recent_resets_.erase(recent_resets_by_age_.front());
+    recent_resets_by_age_.pop_front();
   }
 }
 
 void Connection::stream_error(StreamId id, ErrorCode code, const char* why) {
   // Section 5.4.2: RST_STREAM; the connection goes on.
-  put_rst_stream(id, code, out_);
-  forget_reset(id);
+  put_rst_stream(id, code, output_);
+  remember_reset(id);
   const auto it = streams_.find(id);
   if (it == streams_.end()) return;
   it->second.local_ended = it->second.remote_ended = true;
@@ -121,43 +121,43 @@
 void Connection::drop_if_done(StreamId id) {
   const auto it = streams_.find(id);
   if (it == streams_.end() || !it->second.local_ended || !it->second.remote_ended) return;
-  unsent_body_ -= it->second.body.size() - it->second.body_at;
-  pending_.erase(id);
-  if (!mine(id)) peer_streams_--;
+  unsent_body_bytes_ -= it->second.body.size() - it->second.body_sent;
+  waiting_streams_.erase(id);
+  if (!is_local_stream(id)) peer_stream_count_--;
   streams_.erase(it);
 }
 
-bool Connection::idle_stream(StreamId id) const {
-  return mine(id) ? id >= next_stream_ : id > last_peer_stream_;
+bool Connection::is_idle_stream(StreamId id) const {
+  return is_local_stream(id) ? id >= next_stream_ : id > last_peer_stream_;
 }
 
-bool Connection::control_frame() {
-  if (control_.take(now_, limits_.control_burst, limits_.control_per_s)) return true;
+bool Connection::count_control_frame() {
+  if (control_bucket_.take(now_, limits_.control_burst, limits_.control_per_s)) return true;
   return connection_error(ErrorCode::enhance_your_calm, "too many control frames (section 10.5)");
 }
 
 void Connection::receive(Time now, std::string_view bytes, std::vector<Event>& events) {
   if (failed_) return;
   now_ = now, events_ = &events;
-  in_.append(bytes);
+  input_.append(bytes);
   std::size_t at = 0;
   if (role_ == Role::server && !preface_seen_) {
     // Section 3.4: an invalid preface is a connection error PROTOCOL_ERROR, reported at the first wrong byte.
-    const std::size_t n = std::min(in_.size(), kPreface.size());
-    if (std::string_view(in_).substr(0, n) != kPreface.substr(0, n)) {
+    const std::size_t n = std::min(input_.size(), kClientPreface.size());
+    if (std::string_view(input_).substr(0, n) != kClientPreface.substr(0, n)) {
       connection_error(ErrorCode::protocol_error, "no HTTP/2 preface (section 3.4)");
       events_ = nullptr;
       return;
     }
-    if (in_.size() < kPreface.size()) {
+    if (input_.size() < kClientPreface.size()) {
       events_ = nullptr;
       return;
     }
     preface_seen_ = true;
-    at = kPreface.size();
+    at = kClientPreface.size();
   }
-  while (!failed_ && in_.size() - at >= kFrameHeader) {
-    const FrameHeader h = parse_frame_header(in_, at);
+  while (!failed_ && input_.size() - at >= kFrameHeaderSize) {
+    const FrameHeader h = parse_frame_header(input_, at);
     if (!peer_settings_seen_ && h.type != FrameType::settings) {
       connection_error(ErrorCode::protocol_error, "the first frame is no SETTINGS (section 3.4)");
       break;
@@ -166,13 +166,13 @@
       connection_error(ErrorCode::frame_size_error, "a frame exceeds SETTINGS_MAX_FRAME_SIZE (section 4.2)");
       break;
     }
-    if (in_.size() - at < kFrameHeader + h.length) break;
-    const std::string_view payload = std::string_view(in_).substr(at + kFrameHeader, h.length);
+    if (input_.size() - at < kFrameHeaderSize + h.length) break;
+    const std::string_view payload = std::string_view(input_).substr(at + kFrameHeaderSize, h.length);
     if (!on_frame(h, payload)) break;
-    at += kFrameHeader + h.length;
+    at += kFrameHeaderSize + h.length;
   }
-  in_.erase(0, at);
-  if (failed_) in_.clear();
+  input_.erase(0, at);
+  if (failed_) input_.clear();
   events_ = nullptr;
 }
 
@@ -189,11 +189,11 @@
       if (h.stream == 0)
         return connection_error(ErrorCode::protocol_error, "PRIORITY on stream 0 (section 6.3)");
       if (h.length != 5) {
-        if (idle_stream(h.stream))
+        if (is_idle_stream(h.stream))
           return connection_error(ErrorCode::frame_size_error, "PRIORITY of a wrong length (section 6.3)");
         stream_error(h.stream, ErrorCode::frame_size_error, "PRIORITY of a wrong length (section 6.3)");
       }
-      return control_frame();
+      return count_control_frame();
     case FrameType::rst_stream:
       return on_rst_stream(h, payload);
     case FrameType::settings:
@@ -210,7 +210,7 @@
     case FrameType::continuation:
       return on_continuation(h, payload);
   }
-  return control_frame();  // section 4.1: unknown types are ignored
+  return count_control_frame();  // section 4.1: unknown types are ignored
 }
 
 bool Connection::unpad(const FrameHeader& h, std::string_view& payload) {
@@ -227,27 +227,28 @@
 
 bool Connection::on_data(const FrameHeader& h, std::string_view payload) {
   if (h.stream == 0) return connection_error(ErrorCode::protocol_error, "DATA on stream 0 (section 6.1)");
-  if (idle_stream(h.stream))
+  if (is_idle_stream(h.stream))
     return connection_error(ErrorCode::protocol_error, "DATA on an idle stream (section 5.1)");
   // Section 6.9.1: the whole frame counts against both windows, padding included, even on closed streams.
   if (static_cast<std::int64_t>(h.length) > receive_window_)
     return connection_error(ErrorCode::flow_control_error,
                             "DATA beyond the connection's window (section 6.9.1)");
-  receive_window_ -= h.length, unacked_ += h.length;
-  if (unacked_ * 2 >= static_cast<std::int64_t>(local_.connection_window)) {
-    put_window_update(0, static_cast<std::uint32_t>(unacked_), out_);
-    receive_window_ += unacked_, unacked_ = 0;
+  receive_window_ -= h.length, unreturned_window_ += h.length;
+  if (unreturned_window_ * 2 >= static_cast<std::int64_t>(local_.connection_window)) {
+    put_window_update(0, static_cast<std::uint32_t>(unreturned_window_), output_);
+    receive_window_ += unreturned_window_, unreturned_window_ = 0;
   }
   if (!unpad(h, payload)) return false;
-  if (payload.empty() && !h.has(flag::end_stream) && !control_frame()) return false;
+  if (payload.empty() && !h.has(flag::end_stream) && !count_control_frame()) return false;
   const auto it = streams_.find(h.stream);
   if (it == streams_.end()) {
     // Section 5.1, closed: frames that cross a RST_STREAM are ignored, as are those on streams above a
     // GOAWAY's last stream.
-    if (reset_recently_.count(h.stream) || (!mine(h.stream) && h.stream > goaway_last_sent_)) return true;
-    put_rst_stream(h.stream, ErrorCode::stream_closed, out_);
-    forget_reset(h.stream);
-    return control_frame();
+    if (recent_resets_.count(h.stream) || (!is_local_stream(h.stream) && h.stream > goaway_last_sent_))
+      return true;
+    put_rst_stream(h.stream, ErrorCode::stream_closed, output_);
+    remember_reset(h.stream);
+    return count_control_frame();
   }
   Stream& s = it->second;
   if (s.remote_ended) {
@@ -262,14 +263,15 @@
     stream_error(h.stream, ErrorCode::flow_control_error, "DATA beyond the stream's window (section 6.9.1)");
     return true;
   }
-  s.receive_window -= h.length, s.unacked += h.length;
+  s.receive_window -= h.length, s.unreturned_window += h.length;
   s.received += payload.size();
   const bool end = h.has(flag::end_stream);
-  if (!mine(h.stream) && s.local_ended && !end && s.received > s.answered_at + kMaxIgnoredBodyBytes) {
+  if (!is_local_stream(h.stream) && s.local_ended && !end &&
+      s.received > s.received_before_response + kMaxIgnoredBodyBytes) {
     // Section 8.1: RST_STREAM(NO_ERROR) asks the client to stop sending. It isn't sent together with the
     // response, because widely used clients then drop the response (curl 7.88 dropped one in twenty).
-    put_rst_stream(h.stream, ErrorCode::no_error, out_);
-    forget_reset(h.stream);
+    put_rst_stream(h.stream, ErrorCode::no_error, output_);
+    remember_reset(h.stream);
     s.remote_ended = true;
     drop_if_done(h.stream);
     return true;
@@ -280,9 +282,9 @@
     stream_error(h.stream, ErrorCode::protocol_error, "content-length is not kept (section 8.1.1)");
     return true;
   }
-  if (!end && s.unacked * 2 >= static_cast<std::int64_t>(local_.initial_window_size)) {
-    put_window_update(h.stream, static_cast<std::uint32_t>(s.unacked), out_);
-    s.receive_window += s.unacked, s.unacked = 0;
+  if (!end && s.unreturned_window * 2 >= static_cast<std::int64_t>(local_.initial_window_size)) {
+    put_window_update(h.stream, static_cast<std::uint32_t>(s.unreturned_window), output_);
+    s.receive_window += s.unreturned_window, s.unreturned_window = 0;
   }
   if (!payload.empty() || end) {
     Event& e = emit(Event::Type::data, h.stream);
@@ -294,10 +296,10 @@
 
 void Connection::end_remote(StreamId id, Stream& s) {
   s.remote_ended = true;
-  if (role_ == Role::client && !s.local_ended && s.body_at < s.body.size()) {
+  if (role_ == Role::client && !s.local_ended && s.body_sent < s.body.size()) {
     // Section 8.1: the response is complete before the request is; the rest of the request's body isn't sent.
-    put_rst_stream(id, ErrorCode::cancel, out_);
-    forget_reset(id);
+    put_rst_stream(id, ErrorCode::cancel, output_);
+    remember_reset(id);
     s.local_ended = true;
   }
   drop_if_done(id);
@@ -312,9 +314,9 @@
                               "HEADERS too short for its priority (section 6.2)");
     payload.remove_prefix(5);
   }
-  if (mine(h.stream) && idle_stream(h.stream))
+  if (is_local_stream(h.stream) && is_idle_stream(h.stream))
     return connection_error(ErrorCode::protocol_error, "HEADERS on an idle stream (section 5.1)");
-  if (!mine(h.stream) && role_ == Role::client)
+  if (!is_local_stream(h.stream) && role_ == Role::client)
     return connection_error(ErrorCode::protocol_error, "a stream that the server opened (section 5.1.1)");
   block_stream_ = h.stream;
   block_.assign(payload);
@@ -350,8 +352,8 @@
 
   auto it = streams_.find(id);
   if (it == streams_.end()) {
-    if (mine(id) || id <= last_peer_stream_) {
-      if (reset_recently_.count(id)) return true;
+    if (is_local_stream(id) || id <= last_peer_stream_) {
+      if (recent_resets_.count(id)) return true;
       // Section 5.1: the stream is closed, and not by a recent reset of this side.
       return connection_error(ErrorCode::stream_closed, "HEADERS on a closed stream (section 5.1)");
     }
@@ -360,14 +362,14 @@
     // Section 6.8: ignored; the GOAWAY told the peer that it isn't processed.
     if (goaway_sent_ && id > goaway_last_sent_) {
       last_peer_stream_ = id;
-      forget_reset(id);
+      remember_reset(id);
       return true;
     }
     last_peer_stream_ = id;
-    if (peer_streams_ >= streams_allowed_) {
+    if (peer_stream_count_ >= enforced_stream_limit_) {
       // Section 5.1.2: REFUSED_STREAM proves to the peer that the request was not processed.
       stream_error(id, ErrorCode::refused_stream, "beyond SETTINGS_MAX_CONCURRENT_STREAMS");
-      if (!resets_.take(now_, limits_.resets_burst, limits_.resets_per_s))
+      if (!reset_bucket_.take(now_, limits_.resets_burst, limits_.resets_per_s))
         return connection_error(ErrorCode::enhance_your_calm, "too many streams refused (section 10.5)");
       return true;
     }
@@ -375,16 +377,16 @@
     s.send_window = peer_initial_window_;
     // Until the peer has acknowledged our SETTINGS, it may still use the default window (section 6.9.3).
     s.receive_window =
-        local_acked_ ? local_.initial_window_size : std::max(65'535u, local_.initial_window_size);
+        local_settings_acked_ ? local_.initial_window_size : std::max(65'535u, local_.initial_window_size);
     it = streams_.emplace(id, std::move(s)).first;
-    peer_streams_++;
+    peer_stream_count_++;
   }
   Stream& s = it->second;
   if (s.remote_ended) {
     stream_error(id, ErrorCode::stream_closed, "HEADERS after END_STREAM (section 5.1)");
     return true;
   }
-  if (++s.blocks > limits_.trailers_and_interim) {
+  if (++s.header_blocks > limits_.trailers_and_interim) {
     stream_error(id, ErrorCode::enhance_your_calm, "too many field sections on one stream (section 10.5)");
     return true;
   }
@@ -397,7 +399,7 @@
     stream_error(id, ErrorCode::protocol_error, "trailers without END_STREAM (section 8.1)");
     return true;
   }
-  if (const char* why = malformed(headers, trailers, s)) {
+  if (const char* why = field_section_error(headers, trailers, s)) {
     stream_error(id, ErrorCode::protocol_error, why);  // section 8.1.1
     return true;
   }
@@ -406,7 +408,7 @@
     if (status[0] == '1') {  // interim response (section 8.1)
       if (block_ends_stream_)
         stream_error(id, ErrorCode::protocol_error, "an interim response with END_STREAM (section 8.1)");
-      return control_frame();
+      return count_control_frame();
     }
   }
   if (!trailers) {
@@ -433,7 +435,7 @@
 }
 
 // Checks sections 8.2 and 8.3.
-const char* Connection::malformed(const Headers& headers, bool trailers, Stream&) const {
+const char* Connection::field_section_error(const Headers& headers, bool trailers, Stream&) const {
   bool regular = false;
   int method = 0, scheme = 0, path = 0, authority = 0, status = 0;
   std::string_view method_value, path_value, status_value;
@@ -486,9 +488,9 @@
     return connection_error(ErrorCode::protocol_error, "RST_STREAM on stream 0 (section 6.4)");
   if (h.length != 4)
     return connection_error(ErrorCode::frame_size_error, "RST_STREAM of a wrong length (section 6.4)");
-  if (idle_stream(h.stream))
+  if (is_idle_stream(h.stream))
     return connection_error(ErrorCode::protocol_error, "RST_STREAM on an idle stream (section 6.4)");
-  if (role_ == Role::server && !resets_.take(now_, limits_.resets_burst, limits_.resets_per_s))
+  if (role_ == Role::server && !reset_bucket_.take(now_, limits_.resets_burst, limits_.resets_per_s))
     return connection_error(ErrorCode::enhance_your_calm, "streams are reset too fast (section 10.5)");
   const auto it = streams_.find(h.stream);
   if (it == streams_.end()) return true;
@@ -505,14 +507,14 @@
       return connection_error(ErrorCode::frame_size_error, "SETTINGS ACK with a payload (section 6.5)");
     if (!peer_settings_seen_)
       return connection_error(ErrorCode::protocol_error, "the first frame is an ACK (section 3.4)");
-    if (!local_acked_) {
-      local_acked_ = true;
-      decoder_.set_limit(local_.header_table_size);
-    } else if (!streams_unacked_.empty()) {
-      streams_allowed_ = streams_unacked_.front();
-      streams_unacked_.pop_front();
+    if (!local_settings_acked_) {
+      local_settings_acked_ = true;
+      decoder_.set_table_size_limit(local_.header_table_size);
+    } else if (!unacked_stream_limits_.empty()) {
+      enforced_stream_limit_ = unacked_stream_limits_.front();
+      unacked_stream_limits_.pop_front();
     }
-    return control_frame();
+    return count_control_frame();
   }
   if (h.length % 6 != 0)
     return connection_error(ErrorCode::frame_size_error, "SETTINGS of a wrong length (section 6.5)");
@@ -522,7 +524,7 @@
     const std::uint32_t value = read_u32(payload, at + 2);
     switch (static_cast<Setting>(read_u16(payload, at))) {
       case Setting::header_table_size:
-        encoder_.set_limit(value);
+        encoder_.set_table_size_limit(value);
         break;
       case Setting::enable_push:
         // Section 6.5.2: 0 or 1, and never 1 from a server.
@@ -557,16 +559,16 @@
         break;  // advisory; what this side sends is far below what any peer must accept
     }           // section 6.5.2: unknown settings are ignored
   }
-  put_frame(FrameType::settings, flag::ack, 0, {}, out_);
+  put_frame(FrameType::settings, flag::ack, 0, {}, output_);
   if (!peer_settings_seen_) {
     peer_settings_seen_ = true;
     emit(Event::Type::settings, 0);
-  } else if (!control_frame()) {
+  } else if (!count_control_frame()) {
     return false;
   }
-  if (++replies_ > limits_.unsent_replies)
+  if (++unsent_replies_ > limits_.unsent_replies)
     return connection_error(ErrorCode::enhance_your_calm, "acknowledgements are not read (section 10.5)");
-  send_pending();
+  send_waiting_bodies();
   return true;
 }
 
@@ -574,13 +576,13 @@
   if (h.stream != 0) return connection_error(ErrorCode::protocol_error, "PING on a stream (section 6.7)");
   if (h.length != 8)
     return connection_error(ErrorCode::frame_size_error, "PING of a wrong length (section 6.7)");
-  if (!control_frame()) return false;
+  if (!count_control_frame()) return false;
   if (h.has(flag::ack)) {
     emit(Event::Type::ping_ack, 0).data.assign(payload);
     return true;
   }
-  put_frame(FrameType::ping, flag::ack, 0, payload, out_);
-  if (++replies_ > limits_.unsent_replies)
+  put_frame(FrameType::ping, flag::ack, 0, payload, output_);
+  if (++unsent_replies_ > limits_.unsent_replies)
     return connection_error(ErrorCode::enhance_your_calm, "acknowledgements are not read (section 10.5)");
   return true;
 }
@@ -589,19 +591,19 @@
   if (h.stream != 0) return connection_error(ErrorCode::protocol_error, "GOAWAY on a stream (section 6.8)");
   if (h.length < 8)
     return connection_error(ErrorCode::frame_size_error, "GOAWAY of a wrong length (section 6.8)");
-  const StreamId last = read_u32(payload, 0) & kMaxStream;
+  const StreamId last = read_u32(payload, 0) & kMaxStreamId;
   const auto code = static_cast<ErrorCode>(read_u32(payload, 4));
   if (goaway_received_ && last > goaway_last_received_)
     return connection_error(ErrorCode::protocol_error, "GOAWAY raises its last stream (section 6.8)");
   goaway_received_ = true, goaway_last_received_ = last;
   std::vector<StreamId> above;
   for (auto it = streams_.upper_bound(last); it != streams_.end(); ++it)
-    if (mine(it->first)) above.push_back(it->first);
+    if (is_local_stream(it->first)) above.push_back(it->first);
   for (const StreamId id : above) {
     Stream& s = streams_.at(id);
     s.local_ended = s.remote_ended = true;
     drop_if_done(id);
-    forget_reset(id);
+    remember_reset(id);
     emit(Event::Type::unprocessed, id).code = code;
   }
   Event& e = emit(Event::Type::goaway, last);
@@ -612,7 +614,7 @@
 bool Connection::on_window_update(const FrameHeader& h, std::string_view payload) {
   if (h.length != 4)
     return connection_error(ErrorCode::frame_size_error, "WINDOW_UPDATE of a wrong length (section 6.9)");
-  const std::int64_t increment = read_u32(payload, 0) & kMaxStream;
+  const std::int64_t increment = read_u32(payload, 0) & kMaxStreamId;
   if (h.stream == 0) {
     if (increment == 0)
       return connection_error(ErrorCode::protocol_error, "WINDOW_UPDATE of 0 (section 6.9)");
@@ -620,13 +622,13 @@
     if (send_window_ > kMaxWindow)
       return connection_error(ErrorCode::flow_control_error,
                               "the connection's window grows too large (section 6.9.1)");
-    send_pending();
+    send_waiting_bodies();
     return true;
   }
-  if (idle_stream(h.stream))
+  if (is_idle_stream(h.stream))
     return connection_error(ErrorCode::protocol_error, "WINDOW_UPDATE on an idle stream (section 5.1)");
   const auto it = streams_.find(h.stream);
-  if (it == streams_.end()) return control_frame();  // section 6.9: may cross the stream's end
+  if (it == streams_.end()) return count_control_frame();  // section 6.9: may cross the stream's end
   if (increment == 0) {
     stream_error(h.stream, ErrorCode::protocol_error, "WINDOW_UPDATE of 0 (section 6.9)");
     return true;
@@ -639,8 +641,8 @@
     return true;
   }
   // An update on a stream without a waiting body has no effect, so it counts against the limit on floods.
-  if (s.body_at >= s.body.size()) return control_frame();
-  send_pending();
+  if (s.body_sent >= s.body.size()) return count_control_frame();
+  send_waiting_bodies();
   return true;
 }
 
@@ -654,43 +656,43 @@
     rest.remove_prefix(part.size());
     const std::uint8_t flags =
         static_cast<std::uint8_t>((rest.empty() ? flag::end_headers : 0) | (first ? end : 0));
-    put_frame(first ? FrameType::headers : FrameType::continuation, flags, id, part, out_);
+    put_frame(first ? FrameType::headers : FrameType::continuation, flags, id, part, output_);
   }
 }
 
 void Connection::send_body(StreamId id, Stream& s) {
-  while (s.body_at < s.body.size()) {
+  while (s.body_sent < s.body.size()) {
     const std::int64_t sendable =
         std::min({send_window_, s.send_window, static_cast<std::int64_t>(peer_max_frame_)});
     if (sendable <= 0) {
-      pending_.insert(id);
+      waiting_streams_.insert(id);
       return;
     }
-    const std::size_t n = std::min(static_cast<std::size_t>(sendable), s.body.size() - s.body_at);
-    const bool end = s.body_at + n == s.body.size();
-    put_frame(FrameType::data, end ? flag::end_stream : 0, id, std::string_view(s.body).substr(s.body_at, n),
-              out_);
-    s.body_at += n, unsent_body_ -= n;
+    const std::size_t n = std::min(static_cast<std::size_t>(sendable), s.body.size() - s.body_sent);
+    const bool end = s.body_sent + n == s.body.size();
+    put_frame(FrameType::data, end ? flag::end_stream : 0, id,
+              std::string_view(s.body).substr(s.body_sent, n), output_);
+    s.body_sent += n, unsent_body_bytes_ -= n;
     send_window_ -= static_cast<std::int64_t>(n), s.send_window -= static_cast<std::int64_t>(n);
   }
-  s.body.clear(), s.body_at = 0;
+  s.body.clear(), s.body_sent = 0;
   s.local_ended = true;
-  pending_.erase(id);
+  waiting_streams_.erase(id);
 }
 
-void Connection::send_pending() {
+void Connection::send_waiting_bodies() {
   // Round robin over the streams that wait for a window, beginning after the one served last.
-  std::vector<StreamId> order(pending_.upper_bound(last_served_pending_), pending_.end());
-  order.insert(order.end(), pending_.begin(), pending_.upper_bound(last_served_pending_));
+  std::vector<StreamId> order(waiting_streams_.upper_bound(last_waiting_served_), waiting_streams_.end());
+  order.insert(order.end(), waiting_streams_.begin(), waiting_streams_.upper_bound(last_waiting_served_));
   for (const StreamId id : order) {
     if (send_window_ <= 0) return;
     const auto it = streams_.find(id);
     if (it == streams_.end()) {
-      pending_.erase(id);
+      waiting_streams_.erase(id);
       continue;
     }
     if (it->second.send_window <= 0) continue;
-    last_served_pending_ = id;
+    last_waiting_served_ = id;
     send_body(id, it->second);
     drop_if_done(id);
   }
@@ -698,7 +700,7 @@
 
 bool Connection::can_request() const {
   return role_ == Role::client && !failed_ && !goaway_received_ && !goaway_sent_ &&
-         next_stream_ <= kMaxStream && streams_.size() < peer_max_streams_;
+         next_stream_ <= kMaxStreamId && streams_.size() < peer_max_streams_;
 }
 
 StreamId Connection::request(const Headers& headers, std::string_view body) {
@@ -708,10 +710,10 @@
   Stream& s = streams_[id];
   s.send_window = peer_initial_window_;
   s.receive_window =
-      local_acked_ ? local_.initial_window_size : std::max(65'535u, local_.initial_window_size);
+      local_settings_acked_ ? local_.initial_window_size : std::max(65'535u, local_.initial_window_size);
   s.head_request = find_header(headers, ":method") == "HEAD";
   write_headers(id, headers, body.empty());
-  s.body.assign(body), unsent_body_ += body.size();
+  s.body.assign(body), unsent_body_bytes_ += body.size();
   send_body(id, s);
   return id;
 }
@@ -719,9 +721,9 @@
 bool Connection::respond(StreamId id, const Headers& headers, std::string_view body) {
   const auto it = streams_.find(id);
   if (failed_ || it == streams_.end() || it->second.local_ended || !it->second.body.empty()) return false;
-  it->second.answered_at = it->second.received;
+  it->second.received_before_response = it->second.received;
   write_headers(id, headers, body.empty());
-  it->second.body.assign(body), unsent_body_ += body.size();
+  it->second.body.assign(body), unsent_body_bytes_ += body.size();
   send_body(id, it->second);
   // If the request isn't complete yet, the rest of it is received and ignored, up to a limit: see on_data().
   drop_if_done(id);
@@ -731,49 +733,50 @@
 void Connection::reset(StreamId id, ErrorCode code) {
   const auto it = streams_.find(id);
   if (failed_ || it == streams_.end()) return;
-  put_rst_stream(id, code, out_);
-  forget_reset(id);
+  put_rst_stream(id, code, output_);
+  remember_reset(id);
   it->second.local_ended = it->second.remote_ended = true;
   drop_if_done(id);
 }
 
 void Connection::ping(std::string_view eight_bytes) {
-  if (!failed_ && eight_bytes.size() == 8) put_frame(FrameType::ping, 0, 0, eight_bytes, out_);
+  if (!failed_ && eight_bytes.size() == 8) put_frame(FrameType::ping, 0, 0, eight_bytes, output_);
 }
 
 void Connection::limit_streams(std::uint32_t max_streams) {
   // Bounded, since a peer that acknowledges nothing would let the list of announced limits grow for ever.
-  if (failed_ || role_ == Role::client || max_streams == streams_announced_ || streams_unacked_.size() >= 8)
+  if (failed_ || role_ == Role::client || max_streams == announced_stream_limit_ ||
+      unacked_stream_limits_.size() >= 8)
     return;
-  put_settings({{Setting::max_concurrent_streams, max_streams}}, out_);
-  streams_announced_ = max_streams;
-  streams_unacked_.push_back(max_streams);
+  put_settings({{Setting::max_concurrent_streams, max_streams}}, output_);
+  announced_stream_limit_ = max_streams;
+  unacked_stream_limits_.push_back(max_streams);
 }
 
 void Connection::announce_shutdown() {
-  if (!failed_ && !goaway_sent_) put_goaway(kMaxStream, ErrorCode::no_error, {}, out_);
+  if (!failed_ && !goaway_sent_) put_goaway(kMaxStreamId, ErrorCode::no_error, {}, output_);
 }
 
 void Connection::goaway(ErrorCode code, std::string_view debug) {
   if (failed_) return;
   if (!goaway_sent_) goaway_last_sent_ = last_peer_stream_;
   goaway_sent_ = true;
-  put_goaway(goaway_last_sent_, code, debug, out_);
+  put_goaway(goaway_last_sent_, code, debug, output_);
 }
 
 void Connection::goaway_after(StreamId last, ErrorCode code) {
   if (failed_) return;
   goaway_sent_ = true;
   goaway_last_sent_ = std::min(last, goaway_last_sent_);
-  put_goaway(goaway_last_sent_, code, {}, out_);
+  put_goaway(goaway_last_sent_, code, {}, output_);
   std::vector<StreamId> above;
   for (auto it = streams_.upper_bound(goaway_last_sent_); it != streams_.end(); ++it)
-    if (!mine(it->first)) above.push_back(it->first);
+    if (!is_local_stream(it->first)) above.push_back(it->first);
   for (const StreamId id : above) {
     Stream& s = streams_.at(id);
     s.local_ended = s.remote_ended = true;
     drop_if_done(id);
-    forget_reset(id);
+    remember_reset(id);
   }
 }
 
--- a/src/http2/connection.hpp
+++ b/src/http2/connection.hpp
@@ -83,8 +83,8 @@
   void receive(Time now, std::string_view bytes, std::vector<Event>& events);
   // The bytes to be sent to the peer since the last call.
   std::string take_output();
-  bool has_output() const { return !out_.empty(); }
-  std::size_t output_size() const { return out_.size(); }
+  bool has_output() const { return !output_.empty(); }
+  std::size_t output_size() const { return output_.size(); }
 
   // Client: opens a stream. Returns 0 if none may be opened now; see can_request().
   StreamId request(const Headers& headers, std::string_view body);
@@ -106,48 +106,48 @@
 
   bool failed() const { return failed_; }
   // Whether the peer's SETTINGS were received and no connection error occurred.
-  bool standing() const { return peer_settings_seen_ && !failed_; }
-  bool peer_goaway() const { return goaway_received_; }
+  bool established() const { return peer_settings_seen_ && !failed_; }
+  bool goaway_received() const { return goaway_received_; }
   // No stream is open.
   bool idle() const { return streams_.empty(); }
   // Number of open streams, of both sides.
-  std::size_t streams() const { return streams_.size(); }
+  std::size_t open_streams() const { return streams_.size(); }
   std::uint32_t peer_max_streams() const { return peer_max_streams_; }
-  bool settings_acknowledged() const { return local_acked_; }
+  bool settings_acknowledged() const { return local_settings_acked_; }
   // Bytes of bodies that the peer's flow-control windows hold back.
-  std::size_t unsent_body() const { return unsent_body_; }
+  std::size_t unsent_body_bytes() const { return unsent_body_bytes_; }
 
  private:
   struct Stream {
     // The last one: bytes received that no WINDOW_UPDATE has given back to the peer yet.
-    std::int64_t send_window = 0, receive_window = 0, unacked = 0;
+    std::int64_t send_window = 0, receive_window = 0, unreturned_window = 0;
     bool remote_ended = false, local_ended = false;  // half closed (section 5.1)
     bool headers_seen = false, trailers_seen = false;
-    bool head_request = false;  // the response may have a content-length without a body
-    std::size_t blocks = 0;     // header blocks received
+    bool head_request = false;      // the response may have a content-length without a body
+    std::size_t header_blocks = 0;  // header blocks received
     std::optional<std::uint64_t> content_length;
     // Bytes of body received so far, and those received before this side's response.
-    std::uint64_t received = 0, answered_at = 0;
-    std::string body;         // the body to send
-    std::size_t body_at = 0;  // bytes of it that are sent
+    std::uint64_t received = 0, received_before_response = 0;
+    std::string body;           // the body to send
+    std::size_t body_sent = 0;  // bytes of it that are sent
   };
   // Token bucket; starts full.
-  struct Bucket {
+  struct TokenBucket {
     double tokens = 0;
-    Time at = 0;
+    Time refilled_at = 0;
     bool take(Time now, double burst, double rate);
   };
   using Streams = std::map<StreamId, Stream>;
 
   // Whether this side opens streams with such a number (section 5.1.1).
-  bool mine(StreamId id) const { return (id % 2 == 1) == (role_ == Role::client); }
+  bool is_local_stream(StreamId id) const { return (id % 2 == 1) == (role_ == Role::client); }
   // Whether the stream was never opened (section 5.1).
-  bool idle_stream(StreamId id) const;
+  bool is_idle_stream(StreamId id) const;
   // Fails the connection. Always returns false, as the handlers below do when the connection has failed.
   bool connection_error(ErrorCode code, const std::string& why);
   void stream_error(StreamId id, ErrorCode code, const char* why);
   // Counts a frame against Limits::control_burst; a connection error if there are too many.
-  bool control_frame();
+  bool count_control_frame();
   // Handlers of received frames: false if the connection has failed.
   bool on_frame(const FrameHeader& h, std::string_view payload);
   bool on_data(const FrameHeader& h, std::string_view payload);
@@ -162,52 +162,53 @@
   // Removes the padding from the payload.
   bool unpad(const FrameHeader& h, std::string_view& payload);
   // Why a field section is malformed; null if it is well formed.
-  const char* malformed(const Headers& headers, bool trailers, Stream& s) const;
+  const char* field_section_error(const Headers& headers, bool trailers, Stream& s) const;
   // The peer has ended its side of the stream.
   void end_remote(StreamId id, Stream& s);
   // Removes the stream if both sides have ended it.
   void drop_if_done(StreamId id);
   // Remembers that this side reset or dropped the stream, so that late frames on it are ignored.
-  void forget_reset(StreamId id);
+  void remember_reset(StreamId id);
   void write_headers(StreamId id, const Headers& headers, bool end_stream);
   // Sends as much of the body as the windows allow; the rest waits for WINDOW_UPDATE.
   void send_body(StreamId id, Stream& s);
-  void send_pending();
+  void send_waiting_bodies();
   Event& emit(Event::Type type, StreamId stream);
 
   const Role role_;
   const LocalSettings local_;
   const Limits limits_;
-  std::string in_, out_;
+  std::string input_, output_;
   std::vector<Event>* events_ = nullptr;
   Time now_ = 0;
-  bool preface_seen_ = false, peer_settings_seen_ = false, local_acked_ = false, failed_ = false;
+  bool preface_seen_ = false, peer_settings_seen_ = false, local_settings_acked_ = false, failed_ = false;
   HpackDecoder decoder_;
   HpackEncoder encoder_;
   Streams streams_;
   // Stream limits announced by limit_streams() that the peer hasn't acknowledged yet.
-  std::deque<std::uint32_t> streams_unacked_;
-  std::size_t peer_streams_ = 0;  // number of streams_ that the peer opened
+  std::deque<std::uint32_t> unacked_stream_limits_;
+  std::size_t peer_stream_count_ = 0;  // number of streams_ that the peer opened
   StreamId next_stream_, last_peer_stream_ = 0;
-  std::uint32_t streams_announced_, streams_allowed_;  // the stream limit announced last; the one enforced
-  std::set<StreamId> pending_;                         // streams whose body waits for a window
-  StreamId last_served_pending_ = 0;                   // the round robin goes on after it
-  std::size_t unsent_body_ = 0;
+  std::uint32_t announced_stream_limit_,
+      enforced_stream_limit_;           // the stream limit announced last; the one enforced
+  std::set<StreamId> waiting_streams_;  // streams whose body waits for a window
+  StreamId last_waiting_served_ = 0;    // the round robin goes on after it
+  std::size_t unsent_body_bytes_ = 0;
   // Streams that this side reset recently, oldest first: frames on them may still be in flight.
-  std::deque<StreamId> reset_order_;
-  std::set<StreamId> reset_recently_;
-  std::int64_t send_window_ = 65'535, receive_window_ = 65'535, unacked_ = 0;
+  std::deque<StreamId> recent_resets_by_age_;
+  std::set<StreamId> recent_resets_;
+  std::int64_t send_window_ = 65'535, receive_window_ = 65'535, unreturned_window_ = 0;
   std::uint32_t peer_initial_window_ = 65'535, peer_max_frame_ = 16'384, peer_max_streams_ = 0xffffffff;
   bool goaway_received_ = false, goaway_sent_ = false;
-  StreamId goaway_last_received_ = kMaxStream, goaway_last_sent_ = kMaxStream;
+  StreamId goaway_last_received_ = kMaxStreamId, goaway_last_sent_ = kMaxStreamId;
   // The header block that is being received (stream 0: none); no other frame may come before its end
   // (section 6.10).
   StreamId block_stream_ = 0;
   std::string block_;
   bool block_ends_stream_ = false;
   std::uint32_t continuations_ = 0;
-  Bucket resets_, control_;
-  std::size_t replies_ = 0;  // acknowledgements written since the output was last taken
+  TokenBucket reset_bucket_, control_bucket_;
+  std::size_t unsent_replies_ = 0;  // acknowledgements written since the output was last taken
 };
 
 }  // namespace cedarplank::http2
--- a/src/http2/frame.cpp
+++ b/src/http2/frame.cpp
@@ -35,7 +35,7 @@
   h.length = first >> 8;
   h.type = static_cast<FrameType>(first & 0xff);
   h.flags = static_cast<std::uint8_t>(bytes[at + 4]);
-  h.stream = read_u32(bytes, at + 5) & kMaxStream;  // section 4.1: the reserved bit is ignored
+  h.stream = read_u32(bytes, at + 5) & kMaxStreamId;  // section 4.1: the reserved bit is ignored
   return h;
 }
 
--- a/src/http2/frame.hpp
+++ b/src/http2/frame.hpp
@@ -61,11 +61,11 @@
   max_header_list_size = 6
 };
 
-constexpr std::size_t kFrameHeader = 9;  // bytes
-constexpr std::uint32_t kMaxStream = 0x7fffffff;
+constexpr std::size_t kFrameHeaderSize = 9;  // bytes
+constexpr std::uint32_t kMaxStreamId = 0x7fffffff;
 constexpr std::int64_t kMaxWindow = 0x7fffffff;
 // What a client sends first (section 3.4).
-constexpr std::string_view kPreface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
+constexpr std::string_view kClientPreface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
 struct FrameHeader {
   std::uint32_t length = 0;
--- a/src/http2/hpack.cpp
+++ b/src/http2/hpack.cpp
@@ -125,7 +125,7 @@
 
 void DynamicTable::evict(std::size_t needed) {
   while (!entries_.empty() && size_ + needed > capacity_) {
-    size_ -= entries_.back().name.size() + entries_.back().value.size() + kOverhead;
+    size_ -= entries_.back().name.size() + entries_.back().value.size() + kEntryOverhead;
     entries_.pop_back();
   }
 }
@@ -134,7 +134,7 @@
   evict(0);
 }
 void DynamicTable::add(std::string name, std::string value) {
-  const std::size_t size = name.size() + value.size() + kOverhead;
+  const std::size_t size = name.size() + value.size() + kEntryOverhead;
   evict(size);
   if (size > capacity_) return;  // section 4.4: too large an entry empties the table; no error
   const auto hash = std::hash<std::string_view>()(name);
@@ -142,12 +142,12 @@
   size_ += size;
 }
 
-void HpackDecoder::set_limit(std::size_t limit) {
-  limit_ = limit;
-  must_shrink_ = table_.capacity() > limit;
+void HpackDecoder::set_table_size_limit(std::size_t limit) {
+  table_size_limit_ = limit;
+  size_update_required_ = table_.capacity() > limit;
 }
 
-bool HpackDecoder::literal(std::string_view block, std::size_t& at, std::string& out) {
+bool HpackDecoder::decode_string(std::string_view block, std::size_t& at, std::string& out) {
   if (at >= block.size()) return fail("a string is missing");
   const bool huffman = static_cast<unsigned char>(block[at]) & 128;
   std::uint32_t length = 0;
@@ -160,8 +160,8 @@
   return huffman_decode(bytes, out) || fail("a string breaks the Huffman code");
 }
 
-bool HpackDecoder::field(std::string_view block, std::size_t& at, std::size_t max_list, std::size_t& list,
-                         Headers& out) {
+bool HpackDecoder::decode_field(std::string_view block, std::size_t& at, std::size_t max_list,
+                                std::size_t& list, Headers& out) {
   const auto first = static_cast<unsigned char>(block[at]);
   std::uint32_t index = 0;
   // Sections 6.1 (indexed), 6.2.1 (incremental indexing), 6.2.2 (without indexing), 6.2.3 (never indexed).
@@ -182,13 +182,13 @@
   }
   if (!indexed) {
     if (index == 0) {
-      if (!literal(block, at, own_name)) return false;
+      if (!decode_string(block, at, own_name)) return false;
       name = own_name;
     }
-    if (!literal(block, at, own_value)) return false;
+    if (!decode_string(block, at, own_value)) return false;
     value = own_value;
   }
-  list += name.size() + value.size() + DynamicTable::kOverhead;
+  list += name.size() + value.size() + DynamicTable::kEntryOverhead;
   // Fields beyond the limit are not kept, since a small block could expand into a very large list.
   if (list <= max_list) out.push_back({std::string(name), std::string(value), never});
   if (indexing) table_.add(std::string(name), std::string(value));
@@ -204,29 +204,29 @@
       // Section 4.2: size updates are allowed only at the beginning of a block, and only up to the limit.
       std::uint32_t size = 0;
       if (!updates_allowed) return fail("a table size update stands after a field"), Result::error;
-      if (!decode_integer(block, at, 5, size) || size > limit_)
+      if (!decode_integer(block, at, 5, size) || size > table_size_limit_)
         return fail("a table size update exceeds the limit"), Result::error;
       table_.set_capacity(size);
-      must_shrink_ = false;
+      size_update_required_ = false;
       continue;
     }
-    if (must_shrink_) return fail("the table size was not reduced as set"), Result::error;
+    if (size_update_required_) return fail("the table size was not reduced as set"), Result::error;
     updates_allowed = false;
-    if (!field(block, at, max_list, list, out)) return Result::error;
+    if (!decode_field(block, at, max_list, list, out)) return Result::error;
   }
   return list > max_list ? Result::too_large : Result::ok;
 }
 
-void HpackEncoder::set_limit(std::size_t limit) {
+void HpackEncoder::set_table_size_limit(std::size_t limit) {
   const std::size_t capacity = std::min(limit, kMaxEncoderTableBytes);
-  if (capacity == table_.capacity() && !update_due_) return;
+  if (capacity == table_.capacity() && !size_update_due_) return;
   // Section 4.2: if the size changed several times, the smallest one must be signalled too.
-  least_update_ = update_due_ ? std::min(least_update_, capacity) : capacity;
-  update_due_ = true;
+  min_size_update_ = size_update_due_ ? std::min(min_size_update_, capacity) : capacity;
+  size_update_due_ = true;
   table_.set_capacity(capacity);
 }
 
-void HpackEncoder::literal(std::string_view text, std::string& out) {
+void HpackEncoder::encode_string(std::string_view text, std::string& out) {
   const std::size_t huffman_size = huffman_length(text);
   if (huffman_size < text.size()) {
     encode_integer(huffman_size, 7, 0x80, out);
@@ -238,10 +238,10 @@
 }
 
 void HpackEncoder::encode(const Headers& headers, std::string& out) {
-  if (update_due_) {
-    if (least_update_ < table_.capacity()) encode_integer(least_update_, 5, 0x20, out);
+  if (size_update_due_) {
+    if (min_size_update_ < table_.capacity()) encode_integer(min_size_update_, 5, 0x20, out);
     encode_integer(table_.capacity(), 5, 0x20, out);
-    update_due_ = false;
+    size_update_due_ = false;
   }
   for (const auto& h : headers) {
     // Indexes of an entry with the same name and value, and of one with the same name; 0 if there is none.
@@ -276,8 +276,8 @@
       encode_integer(name_index, 6, 0x40, out);
     else
       encode_integer(name_index, 4, h.never_indexed ? 0x10 : 0x00, out);
-    if (name_index == 0) literal(h.name, out);
-    literal(h.value, out);
+    if (name_index == 0) encode_string(h.name, out);
+    encode_string(h.value, out);
     if (index) table_.add(h.name, h.value);
   }
 }
--- a/src/http2/hpack.hpp
+++ b/src/http2/hpack.hpp
@@ -37,7 +37,7 @@
     std::string name, value;
     std::size_t hash;  // of the name, only to skip entries quickly
   };
-  static constexpr std::size_t kOverhead = 32;  // bytes that section 4.1 adds to each entry's size
+  static constexpr std::size_t kEntryOverhead = 32;  // bytes that section 4.1 adds to each entry's size
   explicit DynamicTable(std::size_t capacity) : capacity_(capacity) {}
   void set_capacity(std::size_t capacity);
   void add(std::string name, std::string value);
@@ -60,9 +60,9 @@
     too_large,  // the list exceeds the limit; the table still matches the peer's, so the connection can go on
     error       // a decoding error (RFC 7541 section 2.2), which is a connection error COMPRESSION_ERROR
   };
-  explicit HpackDecoder(std::size_t table_size = 4096) : limit_(table_size), table_(table_size) {}
+  explicit HpackDecoder(std::size_t table_size = 4096) : table_size_limit_(table_size), table_(table_size) {}
   // Sets the SETTINGS_HEADER_TABLE_SIZE that the peer has acknowledged.
-  void set_limit(std::size_t limit);
+  void set_table_size_limit(std::size_t limit);
   // Decodes one complete header block. `max_list` is in bytes, counted as in RFC 9113 section 6.5.2.
   Result decode(std::string_view block, std::size_t max_list, Headers& out);
   // Why decode() returned `error`.
@@ -71,15 +71,16 @@
 
  private:
   // Decodes a string literal (section 5.2).
-  bool literal(std::string_view block, std::size_t& at, std::string& out);
+  bool decode_string(std::string_view block, std::size_t& at, std::string& out);
   bool fail(const char* why) {
     error_ = why;
     return false;
   }
   // Decodes one field; `list` is the size of the header list so far.
-  bool field(std::string_view block, std::size_t& at, std::size_t max_list, std::size_t& list, Headers& out);
-  std::size_t limit_;         // the largest table size that a size update may set
-  bool must_shrink_ = false;  // section 4.2: the next block must begin with a size update
+  bool decode_field(std::string_view block, std::size_t& at, std::size_t max_list, std::size_t& list,
+                    Headers& out);
+  std::size_t table_size_limit_;       // the largest table size that a size update may set
+  bool size_update_required_ = false;  // section 4.2: the next block must begin with a size update
   DynamicTable table_;
   std::string error_;
 };
@@ -88,16 +89,16 @@
  public:
   explicit HpackEncoder(std::size_t table_size = 4096) : table_(table_size) {}
   // Sets the peer's SETTINGS_HEADER_TABLE_SIZE; the encoder uses at most 4,096 bytes of it.
-  void set_limit(std::size_t limit);
+  void set_table_size_limit(std::size_t limit);
   void encode(const Headers& headers, std::string& out);
   const DynamicTable& table() const { return table_; }
 
  private:
   // Encodes a string literal, by the Huffman code if that is shorter.
-  void literal(std::string_view text, std::string& out);
+  void encode_string(std::string_view text, std::string& out);
   DynamicTable table_;
-  bool update_due_ = false;       // the next block must begin with a size update
-  std::size_t least_update_ = 0;  // the smallest table size set since the last block
+  bool size_update_due_ = false;     // the next block must begin with a size update
+  std::size_t min_size_update_ = 0;  // the smallest table size set since the last block
 };
 
 }  // namespace cedarplank::http2
--- a/src/journal/image.hpp
+++ b/src/journal/image.hpp
@@ -17,17 +17,17 @@
 
 using Sequence = std::uint64_t;  // number of a record in the log, from 1
 
-class Image {
+class StateImage {
  public:
   // A message without a final answer.
   struct Held {
-    record::Taken now;   // with the state of its attempts
-    Sequence first = 0;  // the oldest record that is needed for it
+    record::Taken state;       // with the state of its attempts
+    Sequence needed_from = 0;  // the oldest record that is needed for it
   };
   // A final answer that is kept until it is delivered or its time is up.
   struct Answer {
-    record::Answered is;
-    Sequence first = 0;  // the record that holds it
+    record::Answered answered;
+    Sequence needed_from = 0;  // the record that holds it
   };
 
   // Applies records in the order of their sequence. After a crash a record may repeat an earlier one; records
@@ -38,22 +38,24 @@
   const std::map<MessageId, Answer>& answers() const { return answers_; }
   // A final answer that was delivered. Nothing more is to be sent; it is remembered so that a repeat of the
   // message is recognized.
-  struct End {
+  struct DeliveredAnswer {
     std::string owner;
     record::Verdict verdict = record::Verdict::failed;
     Time come_back = 0, until = 0;  // `until`: remembered until then
     std::uint64_t fingerprint = 0;
-    Sequence first = 0;
+    Sequence needed_from = 0;
     record::Answered as_record(MessageId id) const;
   };
-  const std::map<MessageId, End>& remembered() const { return remembered_; }
+  const std::map<MessageId, DeliveredAnswer>& delivered_answers() const { return delivered_answers_; }
   // Forgets delivered answers whose time is up, and the oldest ones beyond `bytes_max`. Writes no record:
   // after a restart they are read from the log and forgotten again.
-  void forget_ends(Time now, std::size_t bytes_max);
+  void expire_delivered_answers(Time now, std::size_t bytes_max);
   const std::map<EndpointId, std::pair<record::Told, Sequence>>& waits() const { return waits_; }
   const std::map<EndpointId, std::pair<record::Seen, Sequence>>& health() const { return health_; }
   const record::Base& base() const { return base_; }
-  Time last_at() const { return last_at_; }  // time of the newest record, in the clock of the last Base
+  Time last_record_time() const {
+    return last_record_time_;
+  }  // time of the newest record, in the clock of the last Base
   MessageId next_id() const { return next_id_; }
 
   // The message with this idempotency key that is held or whose answer is kept. Keys are compared byte by
@@ -62,28 +64,29 @@
                                 const std::string& key) const;
 
   // The oldest record that is still needed; 0: none.
-  Sequence oldest() const { return places_.empty() ? 0 : places_.begin()->first; }
+  Sequence oldest_needed() const { return items_by_record_.empty() ? 0 : items_by_record_.begin()->first; }
   // The item of the oldest needed record, complete in one new record. Once that is written and applied, the
   // item depends on the new record only. Needs oldest() != 0.
-  Record carried(Time now) const;
+  Record oldest_item_record(Time now) const;
   // The kept answer that expires first, if its time is up or the answers exceed a limit; 0: none.
-  MessageId outlived(Time now, std::size_t answers_max, std::size_t bytes_max) const;
-  std::size_t items() const { return places_.size(); }
+  MessageId find_expired_answer(Time now, std::size_t answers_max, std::size_t bytes_max) const;
+  std::size_t item_count() const { return items_by_record_.size(); }
   // Approximate size in the log of all that is needed.
-  std::size_t bytes() const { return answer_bytes_ + held_bytes_ + end_bytes_; }
+  std::size_t approximate_bytes() const { return answer_bytes_ + held_bytes_ + delivered_bytes_; }
 
  private:
-  enum class Kind { base, held, answer, end, wait, health };
+  enum class Kind { base, held, answer, delivered, wait, health };
   // An item of the state: id or endpoint is set, depending on the kind.
-  using Place = std::tuple<Kind, MessageId, EndpointId>;
-  using Name = std::tuple<std::string, std::string, std::string>;  // tenant, destination, idempotency key
+  using Item = std::tuple<Kind, MessageId, EndpointId>;
+  using RequestKey =
+      std::tuple<std::string, std::string, std::string>;  // tenant, destination, idempotency key
   // Records that `item` now depends on the record `sequence` instead of `current`, and updates `current`.
-  void place(Sequence& current, Sequence sequence, Place item);
+  void set_needed_record(Sequence& current, Sequence sequence, Item item);
   void drop_held(MessageId id);
   void drop_answer(MessageId id);
   // Adds a delivered answer.
-  void remember(Sequence s, const record::Answered& answer);
-  void drop_end(MessageId id);
+  void add_delivered(Sequence s, const record::Answered& answer);
+  void drop_delivered(MessageId id);
   void on(Sequence s, Time at, const record::Base& r);
   void on(Sequence s, Time at, const record::Taken& r);
   void on(Sequence s, Time at, const record::Sending& r);
@@ -92,21 +95,22 @@
   void on(Sequence s, Time at, const record::Gone& r);
   void on(Sequence s, Time at, const record::Told& r);
   void on(Sequence s, Time at, const record::Seen& r);
-  void on(Sequence, Time, const record::Other&) {}
+  void on(Sequence, Time, const record::Unknown&) {}
 
   std::map<MessageId, Held> held_;
   std::map<MessageId, Answer> answers_;
-  std::map<MessageId, End> remembered_;
-  std::deque<std::pair<Time, MessageId>> remembered_until_;  // in the order in which they were added
+  std::map<MessageId, DeliveredAnswer> delivered_answers_;
+  std::deque<std::pair<Time, MessageId>> delivered_expiry_;  // in the order in which they were added
   std::map<EndpointId, std::pair<record::Told, Sequence>> waits_;
   std::map<EndpointId, std::pair<record::Seen, Sequence>> health_;
-  std::map<Name, MessageId> names_;
-  std::map<std::pair<Time, MessageId>, char> ends_;  // kept answers by expiry; the value is unused
-  std::map<Sequence, Place> places_;                 // items by the record that they need
-  std::size_t answer_bytes_ = 0, held_bytes_ = 0, end_bytes_ = 0;  // approximate
+  std::map<RequestKey, MessageId> ids_by_key_;
+  std::map<std::pair<Time, MessageId>, char>
+      answers_by_expiry_;                     // kept answers by expiry; the value is unused
+  std::map<Sequence, Item> items_by_record_;  // items by the record that they need
+  std::size_t answer_bytes_ = 0, held_bytes_ = 0, delivered_bytes_ = 0;  // approximate
   record::Base base_;
-  Sequence base_first_ = 0;
-  Time last_at_ = 0;
+  Sequence base_needed_from_ = 0;
+  Time last_record_time_ = 0;
   MessageId next_id_ = 1;
 };
 
--- a/src/journal/keeper.hpp
+++ b/src/journal/keeper.hpp
@@ -38,142 +38,152 @@
 
 namespace cedarplank::journal {
 
-struct KeeperSettings {
+struct JournalCoordinatorSettings {
   std::vector<ClassSettings> classes;
   std::vector<std::string> class_names, tenant_names;
   Time answers_for = 3'600'000'000;  // how long final answers are kept
   // Limits on kept answers; beyond them the oldest is dropped.
-  std::size_t answers_max = 100'000, answers_bytes = 128 << 20;
+  std::size_t answers_max = 100'000, answers_bytes_max = 128 << 20;
   // How long delivered answers of messages with an owner are remembered, as far as they fit into a third of
   // the window; 0: not at all.
-  Time ends_for = 0;
+  Time delivered_answers_for = 0;
   // Bytes of records. Items that still need older records are rewritten.
-  std::uint64_t window = 512ull << 20;
+  std::uint64_t window_bytes = 512ull << 20;
 };
 
 // Which actions wait for their record. All are on in production; tests switch single ones off to show what
 // breaks without them.
-struct WaitsFor {
+struct DurabilityWaits {
   bool risky_sends = true;      // sends wait for `sending`, for classes where a repeat may do harm
   bool answers = true;          // final answers wait for `answered`
   bool acknowledgement = true;  // acknowledgements wait for `taken`
 };
 
-class Keeper final : public relay::Transport, public relay::Answers, public relay::Witness {
+class JournalCoordinator final : public relay::Transport,
+                                 public relay::AnswerSink,
+                                 public relay::CoreObserver {
  public:
   struct Ports {
     relay::Transport& transport;
-    relay::Answers& answers;
-    std::function<std::string(DestinationId)> destination;  // its name
+    relay::AnswerSink& answers;
+    std::function<std::string(DestinationId)> destination_name;  // its name
     // Returns the record's number; 0: the log accepts no more records.
     std::function<Sequence(std::string bytes)> append;
     std::function<void(Sequence upto)> release;  // records up to `upto` are no longer needed
     // A held-back call will never be sent. send() may call this, so the core must be informed later, outside
     // of its own round.
-    std::function<void(relay::CallId, relay::Ending)> unsent;
+    std::function<void(relay::CallId, relay::CallResult)> call_dropped;
   };
-  Keeper(KeeperSettings settings, Image image, Ports ports, WaitsFor waits = {});
+  JournalCoordinator(JournalCoordinatorSettings settings, StateImage image, Ports ports,
+                     DurabilityWaits waits = {});
 
   // Counts a record that the log already holds, with its header, towards the window; called for each in
   // order. Otherwise the log of a relay that is restarted again and again would grow by a window at each
   // start.
-  void found(Sequence sequence, std::size_t bytes);
+  void count_existing_record(Sequence sequence, std::size_t bytes);
   // Writes the Base of this run. To be called once, after found() and before any other record.
-  void begin(const record::Base& base, Time now);
+  void write_base(const record::Base& base, Time now);
   // All records up to this one are durable. Runs what waited for them.
-  void durable(Sequence upto);
+  void mark_durable(Sequence upto);
   // The journal accepts no more records. From now on answers are given without it. Attempts whose repeat may
   // do harm are no longer sent, because nobody would know of them after a crash.
   void fail(const std::string& why);
   // Nothing becomes durable for now, but it may later. Acts as fail() does, but records are still written.
-  void stall(bool stalled);
+  void set_stalled(bool stalled);
   bool failed() const { return failed_; }
   // While nothing becomes durable: gives the answers of messages past their deadline without waiting for
   // their record. If a restart still finds such a message held, it sends nothing more for it, because its
   // deadline has passed. Every other answer waits, because a restart would send the message again after it
   // had been answered (rule 1).
-  void tell_overdue(Time now);
+  void deliver_overdue_answers(Time now);
   // Whether an answer with this record may be given. A request for the answer must not get it earlier than
   // the message's own client may.
-  bool may_be_told(Sequence s) const { return failed_ || stalled_ || !waits_.answers || s <= durable_; }
-  const std::string& why_failed() const { return why_; }
+  bool may_deliver_answer(Sequence s) const {
+    return failed_ || stalled_ || !waits_.answers || s <= durable_;
+  }
+  const std::string& failure_reason() const { return failure_reason_; }
   // True when nothing waits for the journal.
-  bool settled() const { return waiting_.empty(); }
+  bool is_idle() const { return waiting_.empty(); }
 
   // Runs `then` when the record that the message was accepted is durable; at once if it already is, or if the
   // message is not held.
-  void when_taken(MessageId id, std::function<void()> then);
+  void when_durable(MessageId id, std::function<void()> then);
   // The answer of this message is to be kept even if it has no idempotency key, for later requests.
   void keep_answer(MessageId id) {
-    if (image_.held().count(id) > 0) asked_for_.insert(id);
+    if (image_.held().count(id) > 0) answers_to_keep_.insert(id);
   }
   // A kept answer was delivered and need not be kept any more.
-  void handed_over(MessageId id);
+  void answer_delivered(MessageId id);
 
   // Ends a message of an earlier run whose class is no longer in the settings: without its class nothing else
   // can decide about it.
-  void end_classless(MessageId id);
+  void end_message_without_class(MessageId id);
 
   // Drops expired answers, rewrites items that need old records, and releases the records before. Handles at
   // most `max_items` items; to be called periodically. Returns true if more may be left to do.
   // `low_on_space`: the log is short of space, so records are released even within the window.
-  bool tidy(Time now, std::size_t max_items, bool low_on_space = false);
+  bool compact(Time now, std::size_t max_items, bool low_on_space = false);
 
   // The current state. Still updated after the journal has failed, so requests can be answered from it.
-  const Image& image() const { return image_; }
-  std::uint64_t written() const { return written_; }  // bytes, including records that were found
+  const StateImage& image() const { return image_; }
+  std::uint64_t bytes_written() const { return bytes_written_; }  // bytes, including records that were found
   // relay::Witness
   void at(Time now) override { now_ = std::max(now_, now); }
   void taken(MessageId id, const std::shared_ptr<const relay::NewMessage>& message, Time deadline) override;
-  void ended(const relay::CallOrder& call, const relay::Ending& ending) override;
+  void ended(const relay::OutgoingCall& call, const relay::CallResult& ending) override;
   void withdrawn(MessageId id) override;
   void seen(const action::Seen& seen) override;
   // relay::Transport
-  void send(const relay::CallOrder& call) override;
-  Recalled cancel(relay::CallId call) override;
+  void send(const relay::OutgoingCall& call) override;
+  CancelResult cancel(relay::CallId call) override;
   bool take_back(relay::CallId call) override;
   bool withhold(relay::CallId call) override { return ports_.transport.withhold(call); }
   std::vector<relay::CallId> recall(const EndpointId& endpoint) override;
   void close_idle(const EndpointId& endpoint) override { ports_.transport.close_idle(endpoint); }
   void probe(const EndpointId& endpoint) override { ports_.transport.probe(endpoint); }
   // relay::Answers
-  void served(MessageId id, const relay::Ending& ending) override;
-  void refused(MessageId id, Time come_back, const relay::Account& account) override;
-  void failed(MessageId id, const relay::Account& account) override;
+  void served(MessageId id, const relay::CallResult& ending) override;
+  void refused(MessageId id, Time come_back, const relay::AttemptSummary& account) override;
+  void failed(MessageId id, const relay::AttemptSummary& account) override;
 
  private:
   // An action that waits for a record to be durable.
-  struct Waiting {
-    enum class Kind { word, call, release } kind = Kind::word;  // word: an answer or acknowledgement
+  struct WaitingAction {
+    enum class Kind {
+      notification,
+      call,
+      release
+    } kind = Kind::notification;  // word: an answer or acknowledgement
     relay::CallId call = 0;
-    std::function<void()> go;
-    Time due = 0;  // deadline of the message, for an answer; 0: none
+    std::function<void()> run;
+    Time deadline = 0;  // deadline of the message, for an answer; 0: none
   };
   // Encodes, appends and applies the record. Returns its number, or 0 once the journal has failed.
-  Sequence write(Record record);
-  void count(Sequence sequence, std::size_t bytes);
+  Sequence write_record(Record record);
+  void count_bytes(Sequence sequence, std::size_t bytes);
   // Ends all waiting when the journal fails or stalls: answers are given, calls are refused.
-  void let_go();
-  void answered(MessageId id, record::Verdict verdict, Time come_back, const relay::Account& account,
-                std::function<void()> hand_over);
-  void wait_for(Sequence s, Waiting w);
+  void end_waiting();
+  void record_answer(MessageId id, record::Verdict verdict, Time come_back,
+                     const relay::AttemptSummary& account, std::function<void()> hand_over);
+  void wait_until_durable(Sequence s, WaitingAction w);
   // Removes a held-back call. False where it is not held back.
-  bool drop_waiting(relay::CallId call);
-  bool risky(const relay::NewMessage& message) const;
+  bool drop_held_back_call(relay::CallId call);
+  bool repeat_may_harm(const relay::NewMessage& message) const;
 
-  const KeeperSettings settings_;
-  Image image_;
+  const JournalCoordinatorSettings settings_;
+  StateImage image_;
   Ports ports_;
-  const WaitsFor waits_;
-  std::multimap<Sequence, Waiting> waiting_;
-  std::map<relay::CallId, std::multimap<Sequence, Waiting>::iterator> held_back_;  // calls in `waiting_`
-  std::map<relay::CallId, EndpointId> endpoint_of_;                                // of those calls
-  std::set<MessageId> asked_for_;                                                  // their answers are kept
-  std::deque<std::pair<Sequence, std::uint64_t>> marks_;  // samples of `written_` by record
-  std::uint64_t written_ = 0;                             // bytes
-  Sequence durable_ = 0, released_ = 0, last_ = 0;
-  Sequence anew_to_ = 0;  // when low on space: items that need earlier records are rewritten
-  std::string why_;
+  const DurabilityWaits waits_;
+  std::multimap<Sequence, WaitingAction> waiting_;
+  std::map<relay::CallId, std::multimap<Sequence, WaitingAction>::iterator>
+      held_back_calls_;                                        // calls in `waiting_`
+  std::map<relay::CallId, EndpointId> endpoint_by_call_;       // of those calls
+  std::set<MessageId> answers_to_keep_;                        // their answers are kept
+  std::deque<std::pair<Sequence, std::uint64_t>> byte_marks_;  // samples of `written_` by record
+  std::uint64_t bytes_written_ = 0;                            // bytes
+  Sequence durable_ = 0, released_ = 0, last_sequence_ = 0;
+  Sequence rewrite_before_ = 0;  // when low on space: items that need earlier records are rewritten
+  std::string failure_reason_;
   Time now_ = 0;
   bool failed_ = false, stalled_ = false;
 };
--- a/src/journal/records.cpp
+++ b/src/journal/records.cpp
@@ -58,7 +58,7 @@
     p.set_endpoint(r.endpoint), p.set_health(static_cast<pb::Seen::Health>(r.health));
     p.set_since(r.since), p.set_usual_rate(r.usual_rate);
   }
-  void operator()(const record::Other&) const {}
+  void operator()(const record::Unknown&) const {}
 };
 
 // Moves the body out of `p`.
@@ -134,7 +134,7 @@
     kind("seen"), text("endpoint", r.endpoint), text("health", kNames[static_cast<int>(r.health)]);
     number("since", r.since), json.Key("usual_rate"), json.Double(r.usual_rate);
   }
-  void operator()(const record::Other&) const { kind("of a later version"); }
+  void operator()(const record::Unknown&) const { kind("of a later version"); }
 };
 
 }  // namespace
@@ -149,9 +149,9 @@
 std::string decode(std::string_view bytes, Record& record) {
   pb::Record p;
   if (!p.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return "can't be decoded";
-  if (p.least_reader() > kReader)
+  if (p.least_reader() > kReaderVersion)
     return "needs a program that reads version " + std::to_string(p.least_reader()) + "; this one reads " +
-           std::to_string(kReader);
+           std::to_string(kReaderVersion);
   record.at = p.at();
   switch (p.what_case()) {
     case pb::Record::kBase: {
@@ -201,7 +201,7 @@
     case pb::Record::WHAT_NOT_SET:
       break;
   }
-  record.what = record::Other{};
+  record.what = record::Unknown{};
   return {};
 }
 
@@ -218,7 +218,7 @@
   return kKinds[r.what.index()];
 }
 
-MessageId message_of(const Record& r) {
+MessageId message_id_of(const Record& r) {
   return std::visit(
       [](const auto& x) -> MessageId {
         if constexpr (requires { x.id; })
@@ -229,7 +229,7 @@
       r.what);
 }
 
-std::string text_of(const Record& r) {
+std::string to_json(const Record& r) {
   rapidjson::StringBuffer buffer;
   Json json(buffer);
   json.StartObject();
--- a/src/journal/records.hpp
+++ b/src/journal/records.hpp
@@ -15,7 +15,7 @@
 
 namespace cedarplank::journal {
 
-constexpr std::uint32_t kReader = 1;  // highest Record.least_reader that this program can read
+constexpr std::uint32_t kReaderVersion = 1;  // highest Record.least_reader that this program can read
 
 // One attempt to deliver a message to an endpoint.
 struct Attempt {
@@ -103,14 +103,14 @@
 };
 
 // A record kind of a later version, marked as safe to skip.
-struct Other {};
+struct Unknown {};
 
 }  // namespace record
 
 struct Record {
   Time at = 0;
   std::variant<record::Base, record::Taken, record::Sending, record::Ended, record::Answered, record::Gone,
-               record::Told, record::Seen, record::Other>
+               record::Told, record::Seen, record::Unknown>
       what;
 };
 
@@ -125,8 +125,8 @@
 
 // Name of the record's kind, for counts by kind.
 std::string kind_of(const Record& record);
-MessageId message_of(const Record& record);  // 0: not about a message
+MessageId message_id_of(const Record& record);  // 0: not about a message
 // The record as one line of JSON. A message body is given only by its length.
-std::string text_of(const Record& record);
+std::string to_json(const Record& record);
 
 }  // namespace cedarplank::journal
--- a/src/journal/recovery.cpp
+++ b/src/journal/recovery.cpp
@@ -8,41 +8,41 @@
 // decides, because it restarts with the machine. Guards against deadlines computed from a stepped wall clock
 // although the machine was not rebooted.
 static bool same_boot(const record::Base& before, const Clock& now, Time last_at) {
-  const bool unknown = before.boot.empty() || now.boot.empty();
-  return (unknown || before.boot == now.boot) && now.monotonic >= last_at;
+  const bool unknown = before.boot.empty() || now.boot_id.empty();
+  return (unknown || before.boot == now.boot_id) && now.monotonic >= last_at;
 }
 
-record::Base begin(const Image& image, const Clock& now) {
-  record::Base base{now.boot, now.monotonic, now.wall, image.next_id(), 0, image.base().run + 1};
+record::Base make_base(const StateImage& image, const Clock& now) {
+  record::Base base{now.boot_id, now.monotonic, now.wall, image.next_id(), 0, image.base().run + 1};
   const auto& before = image.base();
-  if (before.run == 0 || same_boot(before, now, image.last_at())) return base;
+  if (before.run == 0 || same_boot(before, now, image.last_record_time())) return base;
   const Time then = before.monotonic + std::max<Time>(0, now.wall - before.wall);
-  base.shift = now.monotonic - std::max(then, image.last_at());
+  base.shift = now.monotonic - std::max(then, image.last_record_time());
   return base;
 }
 
-relay::Before before_of(const record::Taken& m) {
-  relay::Before b{m.attempts, m.ran ? m.ran_zone : -1, m.ran ? m.ran_at : 0, m.last};
+relay::PriorAttempts prior_attempts_of(const record::Taken& m) {
+  relay::PriorAttempts b{m.attempts, m.ran ? m.ran_zone : -1, m.ran ? m.ran_at : 0, m.last};
   for (const auto& a : m.out)
-    if (b.ran_zone < 0 || a.at < b.ran_from) b.ran_zone = a.zone, b.ran_from = a.at;
-  if (!m.out.empty()) b.last = "the relay was down";
+    if (b.ran_zone < 0 || a.at < b.ran_sent_at) b.ran_zone = a.zone, b.ran_sent_at = a.at;
+  if (!m.out.empty()) b.last_outcome = "the relay was down";
   return b;
 }
 
-Recovered recover(const Image& image, Time now, const Places& places) {
+Recovered recover(const StateImage& image, Time now, const NameResolver& places) {
   Recovered r;
   for (const auto& [id, held] : image.held()) {
-    const auto cls = places.message_class(held.now.message_class);
+    const auto cls = places.message_class(held.state.message_class);
     if (!cls) {
-      r.classless.push_back(id);
+      r.without_class.push_back(id);
       continue;
     }
-    auto message = std::make_shared<relay::NewMessage>(*held.now.message);
-    message->destination = places.destination(held.now.destination);
+    auto message = std::make_shared<relay::NewMessage>(*held.state.message);
+    message->destination = places.destination(held.state.destination);
     message->message_class = *cls;
-    message->tenant = held.now.tenant.empty() ? -1 : places.tenant(held.now.tenant).value_or(-1);
-    message->time_left = std::max<Time>(0, held.now.deadline - now);
-    r.messages.push_back({id, std::move(message), held.now.deadline, before_of(held.now)});
+    message->tenant = held.state.tenant.empty() ? -1 : places.tenant(held.state.tenant).value_or(-1);
+    message->time_left = std::max<Time>(0, held.state.deadline - now);
+    r.messages.push_back({id, std::move(message), held.state.deadline, prior_attempts_of(held.state)});
   }
   std::map<EndpointId, event::Known> known;
   for (const auto& [endpoint, wait] : image.waits())
@@ -54,7 +54,7 @@
   }
   for (auto& [endpoint, k] : known) {
     k.endpoint = endpoint;
-    r.known.push_back(std::move(k));
+    r.known_endpoints.push_back(std::move(k));
   }
   return r;
 }
--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -41,12 +41,12 @@
   if (pipe2(fds, O_NONBLOCK | O_CLOEXEC) != 0)
     throw std::system_error(errno, std::generic_category(), "event loop: cannot create the wake-up pipe");
   pipe_read_ = fds[0], pipe_write_ = fds[1];
-  polled_.push_back({pipe_read_, POLLIN, 0});
-  refresh();
+  poll_set_.push_back({pipe_read_, POLLIN, 0});
+  refresh_now();
 }
 
 Loop::~Loop() {
-  for (const auto& [signal, callback] : signals_) ::signal(signal, SIG_DFL);
+  for (const auto& [signal, callback] : signal_callbacks_) ::signal(signal, SIG_DFL);
   if (signal_pipe.load() == pipe_write_) signal_pipe.store(-1);
   ::close(pipe_read_);
   ::close(pipe_write_);
@@ -56,22 +56,22 @@
   const auto at = static_cast<std::size_t>(fd);
   if (watches_.size() <= at) watches_.resize(at + 1);
   if (watches_[at].serial != 0) unwatch(fd);
-  polled_.push_back({fd, events, 0});
-  watches_[at] = {std::move(callback), next_serial_++, polled_.size() - 1};
+  poll_set_.push_back({fd, events, 0});
+  watches_[at] = {std::move(callback), next_serial_++, poll_set_.size() - 1};
 }
 
-void Loop::change(int fd, short events) {
+void Loop::set_events(int fd, short events) {
   const auto at = static_cast<std::size_t>(fd);
-  if (at < watches_.size() && watches_[at].serial != 0) polled_[watches_[at].index].events = events;
+  if (at < watches_.size() && watches_[at].serial != 0) poll_set_[watches_[at].index].events = events;
 }
 
 void Loop::unwatch(int fd) {
   const auto at = static_cast<std::size_t>(fd);
   if (at >= watches_.size() || watches_[at].serial == 0) return;
   const std::size_t index = watches_[at].index;
-  polled_[index] = polled_.back();
-  polled_.pop_back();
-  if (index < polled_.size()) watches_[static_cast<std::size_t>(polled_[index].fd)].index = index;
+  poll_set_[index] = poll_set_.back();
+  poll_set_.pop_back();
+  if (index < poll_set_.size()) watches_[static_cast<std::size_t>(poll_set_[index].fd)].index = index;
   watches_[at].serial = 0;
   // The callback may be running now, so it is destroyed at the end of this iteration.
   if (watches_[at].callback) defer([keep = std::move(watches_[at].callback)] {});
@@ -81,8 +81,8 @@
 void Loop::post(Callback callback) {
   const std::lock_guard lock(mutex_);
   posted_.push_back(std::move(callback));
-  if (woken_) return;
-  woken_ = true;
+  if (wakeup_pending_) return;
+  wakeup_pending_ = true;
   const char byte = 'w';
   [[maybe_unused]] const auto n = write(pipe_write_, &byte, 1);
 }
@@ -90,14 +90,14 @@
 void Loop::stop() {
   const std::lock_guard lock(mutex_);
   stopping_ = true;
-  if (woken_) return;
-  woken_ = true;
+  if (wakeup_pending_) return;
+  wakeup_pending_ = true;
   const char byte = 'q';
   [[maybe_unused]] const auto n = write(pipe_write_, &byte, 1);
 }
 
 void Loop::on_signal(int signal, Callback callback) {
-  signals_[signal] = std::move(callback);
+  signal_callbacks_[signal] = std::move(callback);
   signal_pipe.store(pipe_write_);
   struct sigaction action {};
   action.sa_handler = handle_signal;
@@ -106,20 +106,20 @@
   sigaction(signal, &action, nullptr);
 }
 
-void Loop::drain_pipe() {
+void Loop::handle_wakeup() {
   char buffer[256];
   while (read(pipe_read_, buffer, sizeof buffer) > 0) {
   }
   std::vector<Callback> posted;
   {
     const std::lock_guard lock(mutex_);
-    woken_ = false;
+    wakeup_pending_ = false;
     posted.swap(posted_);
   }
   for (auto& callback : posted) callback();
   if (signal_pipe.load() != pipe_write_) return;
   const unsigned long long seen = signals_seen.exchange(0);
-  for (const auto& [signal, callback] : signals_)
+  for (const auto& [signal, callback] : signal_callbacks_)
     if (seen >> signal & 1) callback();
 }
 
@@ -135,9 +135,9 @@
 void Loop::run_deferred() {
   // Calls deferred by a deferred call run in the same iteration too, for at most 16 passes.
   for (int pass = 0; pass < 16 && !deferred_.empty(); pass++) {
-    running_.swap(deferred_);
-    for (auto& callback : running_) callback();
-    running_.clear();
+    running_deferred_.swap(deferred_);
+    for (auto& callback : running_deferred_) callback();
+    running_deferred_.clear();
   }
 }
 
@@ -152,20 +152,20 @@
   // poll(2) takes milliseconds. Rounded up, because the loop would spin if it woke before the timer is due.
   constexpr Time kMaxWait = 3'600'000'000;  // microseconds
   const int timeout = wait < 0 ? -1 : static_cast<int>((std::min(wait, kMaxWait) + 999) / 1000);
-  const int n = poll(polled_.data(), polled_.size(), timeout);
-  refresh();
+  const int n = poll(poll_set_.data(), poll_set_.size(), timeout);
+  refresh_now();
   if (n > 0) {
-    ready_.clear();
+    ready_descriptors_.clear();
     int left = n;
-    for (std::size_t i = 1; i < polled_.size() && left > 0; i++) {
-      if (polled_[i].revents == 0) continue;
+    for (std::size_t i = 1; i < poll_set_.size() && left > 0; i++) {
+      if (poll_set_[i].revents == 0) continue;
       left--;
-      const int fd = polled_[i].fd;
-      ready_.push_back({fd, polled_[i].revents, watches_[static_cast<std::size_t>(fd)].serial});
+      const int fd = poll_set_[i].fd;
+      ready_descriptors_.push_back({fd, poll_set_[i].revents, watches_[static_cast<std::size_t>(fd)].serial});
     }
-    if (polled_[0].revents != 0) drain_pipe();
-    for (std::size_t i = 0; i < ready_.size(); i++) {
-      const Ready ready = ready_[i];
+    if (poll_set_[0].revents != 0) handle_wakeup();
+    for (std::size_t i = 0; i < ready_descriptors_.size(); i++) {
+      const Ready ready = ready_descriptors_[i];
       const auto at = static_cast<std::size_t>(ready.fd);
       if (at >= watches_.size() || watches_[at].serial != ready.serial)
         continue;  // removed or replaced by an earlier callback
--- a/src/loop/loop.hpp
+++ b/src/loop/loop.hpp
@@ -33,12 +33,12 @@
   // The time at which this iteration's poll(2) returned, or a later time at which the clock was read anew.
   Time now() const { return now_; }
   // Reads the clock anew and returns it.
-  Time refresh() { return now_ = monotonic_now(); }
+  Time refresh_now() { return now_ = monotonic_now(); }
 
   // Calls `callback` whenever one of `events` is ready. Replaces an earlier watch of the same descriptor.
   void watch(int fd, short events, IoCallback callback);
   // Sets the events of an existing watch; does nothing without one.
-  void change(int fd, short events);
+  void set_events(int fd, short events);
   // The callback of `fd` is not called after this, even if it is already known to be ready.
   void unwatch(int fd);
 
@@ -69,26 +69,26 @@
     std::uint64_t serial = 0;  // 0: no watch; tells a reused descriptor number from the one that was ready
     std::size_t index = 0;     // position in the poll set
   };
-  void drain_pipe();  // empties the self-pipe, then runs posted callbacks and signal callbacks
+  void handle_wakeup();  // empties the self-pipe, then runs posted callbacks and signal callbacks
   void run_timers();
   void run_deferred();
 
   TimerQueue timers_;
-  std::vector<pollfd> polled_;  // without gaps; the first entry is the self-pipe
-  std::vector<Watch> watches_;  // indexed by descriptor
+  std::vector<pollfd> poll_set_;  // without gaps; the first entry is the self-pipe
+  std::vector<Watch> watches_;    // indexed by descriptor
   std::uint64_t next_serial_ = 1;
   struct Ready {
     int fd;
     short revents;
     std::uint64_t serial;
   };
-  std::vector<Ready> ready_;
-  std::vector<Callback> deferred_, running_;
-  std::map<int, Callback> signals_;
+  std::vector<Ready> ready_descriptors_;
+  std::vector<Callback> deferred_, running_deferred_;
+  std::map<int, Callback> signal_callbacks_;
   int pipe_read_ = -1, pipe_write_ = -1;
   std::mutex mutex_;
   std::vector<Callback> posted_;  // guarded by mutex_
-  bool woken_ = false;            // guarded by mutex_; a byte is already in the pipe
+  bool wakeup_pending_ = false;   // guarded by mutex_; a byte is already in the pipe
   bool stopping_ = false;         // guarded by mutex_
   Time now_ = 0;
 };
--- a/src/net/datagram.cpp
+++ b/src/net/datagram.cpp
@@ -5,9 +5,9 @@
 
 namespace cedarplank::net {
 
-Datagrams::Datagrams(loop::Loop& loop, const Address& on,
-                     std::function<void(std::string_view, const Address&)> received)
-    : loop_(loop), received_(std::move(received)) {
+DatagramSocket::DatagramSocket(loop::Loop& loop, const Address& on,
+                               std::function<void(std::string_view, const Address&)> received)
+    : loop_(loop), on_datagram_(std::move(received)) {
   fd_ = Fd(socket(on.family(), SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd_ || bind(fd_.get(), on.data(), on.size()) != 0)
     throw std::system_error(errno, std::generic_category(), "UDP socket on " + on.text());
@@ -17,14 +17,14 @@
       Address from;
       const auto n = from.receive(fd_.get(), buffer, sizeof buffer);
       if (n < 0) return;
-      received_({buffer, static_cast<std::size_t>(n)}, from);
+      on_datagram_({buffer, static_cast<std::size_t>(n)}, from);
     }
   });
 }
 
-Datagrams::~Datagrams() { loop_.unwatch(fd_.get()); }
+DatagramSocket::~DatagramSocket() { loop_.unwatch(fd_.get()); }
 
-void Datagrams::send(const Address& to, std::string_view bytes) {
+void DatagramSocket::send(const Address& to, std::string_view bytes) {
   [[maybe_unused]] const auto n =
       sendto(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL, to.data(), to.size());
 }
--- a/src/net/datagram.hpp
+++ b/src/net/datagram.hpp
@@ -8,13 +8,13 @@
 
 namespace cedarplank::net {
 
-class Datagrams {
+class DatagramSocket {
  public:
   // Binds to `on` and calls `received` for each datagram, with the sender's address in `from`. Throws
   // std::system_error naming the address.
-  Datagrams(loop::Loop& loop, const Address& on,
-            std::function<void(std::string_view, const Address& from)> received);
-  ~Datagrams();
+  DatagramSocket(loop::Loop& loop, const Address& on,
+                 std::function<void(std::string_view, const Address& from)> received);
+  ~DatagramSocket();
   Address address() const { return Address::of_socket(fd_.get()); }
   // Sends one datagram; it is lost if the kernel's send buffer is full or on any other error.
   void send(const Address& to, std::string_view bytes);
@@ -22,7 +22,7 @@
  private:
   loop::Loop& loop_;
   Fd fd_;
-  std::function<void(std::string_view, const Address& from)> received_;
+  std::function<void(std::string_view, const Address& from)> on_datagram_;
 };
 
 }  // namespace cedarplank::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -101,14 +101,14 @@
   return std::string(buffer) + ":" + std::to_string(ntohs(in->sin_port));
 }
 
-void TcpStream::limit_io(std::size_t max_bytes) { io_limit = max_bytes; }
+void TcpStream::limit_io_size(std::size_t max_bytes) { io_limit = max_bytes; }
 
 TcpStream::TcpStream(loop::Loop& loop, Fd fd, Handlers handlers)
     : loop_(loop), fd_(std::move(fd)), handlers_(std::move(handlers)) {
   const int on = 1;
   setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   events_ = POLLIN;
-  loop_.watch(fd_.get(), events_, [this](short revents) { ready(revents); });
+  loop_.watch(fd_.get(), events_, [this](short revents) { handle_events(revents); });
 }
 
 TcpStream::TcpStream(loop::Loop& loop, const Address& to, Time connect_timeout, Handlers handlers)
@@ -117,12 +117,12 @@
     // Reported by a deferred call, because the owner has no pointer to this object before the constructor
     // returns.
     loop_.defer([this, alive = alive_, why = std::move(why)] {
-      if (*alive) end(why);
+      if (*alive) close_with_reason(why);
     });
   };
   fd_ = Fd(socket(to.family(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd_) {
-    failed_here_ = is_temporary_local_error(errno);
+    failed_locally_ = is_temporary_local_error(errno);
     fail(std::string("socket: ") + std::strerror(errno));
     return;
   }
@@ -130,27 +130,27 @@
   setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   // A connect() that a signal interrupts continues in the background, as a non-blocking one does.
   if (connect(fd_.get(), to.data(), to.size()) != 0 && errno != EINPROGRESS && errno != EINTR) {
-    failed_here_ = is_temporary_local_error(errno);
+    failed_locally_ = is_temporary_local_error(errno);
     fail(std::string("connect: ") + std::strerror(errno));
     return;
   }
   events_ = POLLOUT;
-  loop_.watch(fd_.get(), events_, [this](short revents) { ready(revents); });
+  loop_.watch(fd_.get(), events_, [this](short revents) { handle_events(revents); });
   timer_ = loop_.after(connect_timeout, [this] {
     timer_ = 0;
-    end("connect: timed out");
+    close_with_reason("connect: timed out");
   });
 }
 
 TcpStream::~TcpStream() { close(); }
 
-void TcpStream::ready(short revents) {
+void TcpStream::handle_events(short revents) {
   const auto alive = alive_;
   if (connecting_) {
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return end(std::string("connect: ") + std::strerror(error));
+    if (error != 0) return close_with_reason(std::string("connect: ") + std::strerror(error));
     connecting_ = false;
     loop_.cancel(timer_), timer_ = 0;
     if (handlers_.connected) handlers_.connected();
@@ -161,11 +161,12 @@
   }
   // poll(2) reports POLLHUP and POLLERR whatever events are requested, on every call until they are handled.
   // A paused stream has no other way to learn that its peer has gone; ignored, they would make the loop spin.
-  if ((paused_ || read_all_) && !finishing_ && (revents & (POLLHUP | POLLERR))) {
+  if ((paused_ || input_ended_) && !finishing_ && (revents & (POLLHUP | POLLERR))) {
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-    return end(error == 0 ? "closed by the peer" : std::string("read: ") + std::strerror(error));
+    return close_with_reason(error == 0 ? "closed by the peer"
+                                        : std::string("read: ") + std::strerror(error));
   }
   if (revents & (POLLIN | POLLHUP | POLLERR)) read_some();
   if (*alive && (revents & POLLOUT)) flush();
@@ -184,18 +185,18 @@
     }
     if (n < 0 && errno == EINTR) continue;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
-    if (n == 0 && handlers_.ended && !finishing_) {
-      if (!std::exchange(read_all_, true)) handlers_.ended();
+    if (n == 0 && handlers_.end_of_input && !finishing_) {
+      if (!std::exchange(input_ended_, true)) handlers_.end_of_input();
       return;
     }
-    return end(n == 0 ? "closed by the peer" : std::string("read: ") + std::strerror(errno));
+    return close_with_reason(n == 0 ? "closed by the peer" : std::string("read: ") + std::strerror(errno));
   }
 }
 
 void TcpStream::write(std::string_view bytes) {
   if (!*alive_ || finishing_) return;
-  out_.append(bytes);
-  queued_ += bytes.size();
+  output_.append(bytes);
+  bytes_written_ += bytes.size();
   if (connecting_) return;
   flush();
   if (*alive_) update_events();
@@ -203,30 +204,30 @@
 
 void TcpStream::flush() {
   const auto alive = alive_;
-  while (out_at_ < out_.size()) {
-    std::size_t n = out_.size() - out_at_;
+  while (output_offset_ < output_.size()) {
+    std::size_t n = output_.size() - output_offset_;
     if (io_limit > 0) n = std::min(n, io_limit);
-    const auto sent = send(fd_.get(), out_.data() + out_at_, n, MSG_NOSIGNAL);
+    const auto sent = send(fd_.get(), output_.data() + output_offset_, n, MSG_NOSIGNAL);
     if (sent < 0 && errno == EINTR) continue;
     if (sent < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
-      if (out_at_ > out_.size() / 2) out_.erase(0, out_at_), out_at_ = 0;
+      if (output_offset_ > output_.size() / 2) output_.erase(0, output_offset_), output_offset_ = 0;
       return;
     }
     if (sent < 0) {
       // Reported by a deferred call: `closed` may destroy the owner, which must not happen while it is in
       // write().
       const std::string why = std::string("write: ") + std::strerror(errno);
-      out_.clear(), out_at_ = 0;
+      output_.clear(), output_offset_ = 0;
       loop_.defer([this, alive, why] {
-        if (*alive) end(why);
+        if (*alive) close_with_reason(why);
       });
       return;
     }
-    out_at_ += static_cast<std::size_t>(sent);
-    flushed_ += static_cast<std::uint64_t>(sent);
+    output_offset_ += static_cast<std::size_t>(sent);
+    bytes_flushed_ += static_cast<std::uint64_t>(sent);
   }
-  const bool wrote = !out_.empty();
-  out_.clear(), out_at_ = 0;
+  const bool wrote = !output_.empty();
+  output_.clear(), output_offset_ = 0;
   if (finishing_) {
     shutdown(fd_.get(), SHUT_WR);
     return;
@@ -236,11 +237,11 @@
 
 void TcpStream::update_events() {
   if (!fd_ || connecting_) return;
-  const short wanted = static_cast<short>(((paused_ || read_all_) && !finishing_ ? 0 : POLLIN) |
-                                          (out_at_ < out_.size() ? POLLOUT : 0));
+  const short wanted = static_cast<short>(((paused_ || input_ended_) && !finishing_ ? 0 : POLLIN) |
+                                          (output_offset_ < output_.size() ? POLLOUT : 0));
   if (wanted == events_) return;
   events_ = wanted;
-  loop_.change(fd_.get(), wanted);
+  loop_.set_events(fd_.get(), wanted);
 }
 
 void TcpStream::pause_reading(bool paused) {
@@ -255,21 +256,21 @@
   // The stream ends when the peer closes it or when this timer fires.
   timer_ = loop_.after(linger, [this] {
     timer_ = 0;
-    end("closed here");
+    close_with_reason("closed here");
   });
   if (connecting_) return;
   flush();
   update_events();
 }
 
-void TcpStream::end(const std::string& why) {
+void TcpStream::close_with_reason(const std::string& why) {
   if (!*alive_) return;
   const auto closed = std::move(handlers_.closed);
   close();
   if (closed) closed(why);
 }
 
-bool TcpStream::unacknowledged() const {
+bool TcpStream::has_unacknowledged_data() const {
   int waiting = 0;
   return fd_ && ioctl(fd_.get(), SIOCOUTQ, &waiting) == 0 && waiting > 0;
 }
@@ -293,7 +294,7 @@
 }
 
 Listener::Listener(loop::Loop& loop, const Address& on, std::function<void(Fd)> accepted, int backlog)
-    : loop_(loop), accepted_(std::move(accepted)) {
+    : loop_(loop), on_accept_(std::move(accepted)) {
   const auto fail = [&](const char* what) {
     throw std::system_error(errno, std::generic_category(), "listening on " + on.text() + ": " + what);
   };
@@ -312,23 +313,23 @@
         // Out of descriptors or memory: the connection stays in the backlog, and poll(2) reports it on every
         // call. Accepting is paused for a while so that the loop does not spin.
         pause(true);
-        loop_.cancel(retry_);
-        retry_ = loop_.after(kAcceptRetryDelay, [this] { pause(false); });
+        loop_.cancel(resume_timer_);
+        resume_timer_ = loop_.after(kAcceptRetryDelay, [this] { pause(false); });
         return;
       }
-      accepted_(Fd(fd));
+      on_accept_(Fd(fd));
     }
   });
 }
 
 Listener::~Listener() {
-  loop_.cancel(retry_);
+  loop_.cancel(resume_timer_);
   if (fd_) loop_.unwatch(fd_.get());
 }
 
 void Listener::pause(bool paused) {
   paused_ = paused;
-  loop_.change(fd_.get(), paused ? short{0} : short{POLLIN});
+  loop_.set_events(fd_.get(), paused ? short{0} : short{POLLIN});
 }
 
 }  // namespace cedarplank::net
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -68,7 +68,7 @@
     std::function<void()> drained;                   // everything written has been handed to the kernel
     std::function<void(const std::string&)> closed;  // closed, with the reason; no handler is called after it
     // The peer has finished sending but may still read. If not set, the stream is closed in that case.
-    std::function<void()> ended = {};
+    std::function<void()> end_of_input = {};
   };
   virtual ~Stream() = default;
   // Buffers what the kernel does not accept at once.
@@ -94,8 +94,8 @@
   ~TcpStream() override;
 
   void write(std::string_view bytes) override;
-  std::uint64_t queued() const override { return queued_; }
-  std::uint64_t flushed() const override { return flushed_; }
+  std::uint64_t queued() const override { return bytes_written_; }
+  std::uint64_t flushed() const override { return bytes_flushed_; }
   void pause_reading(bool paused) override;
   void finish(Time linger) override;
   void close(bool abort = false) override;
@@ -104,29 +104,29 @@
   int descriptor() const { return fd_.get(); }
   // Whether some bytes that the kernel accepted have not been acknowledged by the peer's machine. After a
   // plain close the kernel goes on delivering them; after a reset it does not.
-  bool unacknowledged() const;
+  bool has_unacknowledged_data() const;
   // Whether connecting could not start because of a temporary shortage on this machine, such as of
   // descriptors.
-  bool failed_here() const { return failed_here_; }
+  bool failed_locally() const { return failed_locally_; }
 
   // For tests: limits each read and write to `max_bytes` (0: no limit).
-  static void limit_io(std::size_t max_bytes);
+  static void limit_io_size(std::size_t max_bytes);
 
  private:
-  void ready(short revents);
+  void handle_events(short revents);
   void read_some();
   void flush();
   void update_events();
-  void end(const std::string& why);
+  void close_with_reason(const std::string& why);
 
   loop::Loop& loop_;
   Fd fd_;
   Handlers handlers_;
-  std::string out_;         // bytes to write, and
-  std::size_t out_at_ = 0;  // how many of them the kernel has accepted
-  std::uint64_t queued_ = 0, flushed_ = 0;
-  bool failed_here_ = false, reset_on_exit_ = false;
-  bool connecting_ = false, paused_ = false, finishing_ = false, read_all_ = false;
+  std::string output_;             // bytes to write, and
+  std::size_t output_offset_ = 0;  // how many of them the kernel has accepted
+  std::uint64_t bytes_written_ = 0, bytes_flushed_ = 0;
+  bool failed_locally_ = false, reset_on_exit_ = false;
+  bool connecting_ = false, paused_ = false, finishing_ = false, input_ended_ = false;
   short events_ = 0;
   loop::TimerId timer_ = 0;  // connect time-out, or the time limit of finish()
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once closed or destroyed
@@ -146,9 +146,9 @@
  private:
   loop::Loop& loop_;
   Fd fd_;
-  std::function<void(Fd)> accepted_;
+  std::function<void(Fd)> on_accept_;
   bool paused_ = false;
-  loop::TimerId retry_ = 0;  // resumes accepting after a lack of descriptors or memory
+  loop::TimerId resume_timer_ = 0;  // resumes accepting after a lack of descriptors or memory
 };
 
 }  // namespace cedarplank::net
