--- a/src/smpp/text.cpp
+++ b/src/smpp/text.cpp
@@ -70,7 +70,7 @@
 
 [[noreturn]] void fail(const char* what) { throw std::invalid_argument(what); }
 
-PartOf validated(PartOf part) {
+PartInfo validated(PartInfo part) {
   if (part.total < 1 || part.number < 1 || part.number > part.total)
     fail("a part's number is not within their total");
   return part;
@@ -78,7 +78,7 @@
 
 }  // namespace
 
-std::optional<std::string> to_coding(std::string_view utf8, Coding coding) {
+std::optional<std::string> encode_text(std::string_view utf8, Coding coding) {
   if (coding == Coding::octets) return std::string(utf8);
   const auto all = code_points(utf8);
   if (!all) return std::nullopt;
@@ -102,7 +102,7 @@
   return out;
 }
 
-std::optional<std::string> from_coding(std::string_view bytes, Coding coding) {
+std::optional<std::string> decode_text(std::string_view bytes, Coding coding) {
   if (coding == Coding::octets) return std::string(bytes);
   std::string out;
   if (coding == Coding::ucs2) {
@@ -142,21 +142,22 @@
   return out;
 }
 
-std::optional<Coding> fewest_parts(std::string_view utf8) {
+std::optional<Coding> shortest_coding(std::string_view utf8) {
   std::optional<Coding> best;
   std::size_t fewest = 0;
   for (const auto coding : {Coding::gsm7, Coding::latin1, Coding::ucs2}) {
-    const auto encoded = to_coding(utf8, coding);
+    const auto encoded = encode_text(utf8, coding);
     if (!encoded) continue;
-    const std::size_t parts =
-        encoded->size() <= max_in_single(coding) ? 1 : cut(*encoded, coding, max_in_part(coding)).size();
+    const std::size_t parts = encoded->size() <= max_in_single(coding)
+                                  ? 1
+                                  : split_text(*encoded, coding, max_in_part(coding)).size();
     if (!best || parts < fewest) best = coding, fewest = parts;
     if (fewest == 1) break;  // no other coding needs fewer
   }
   return best;
 }
 
-std::vector<std::string> cut(std::string_view encoded, Coding coding, std::size_t most) {
+std::vector<std::string> split_text(std::string_view encoded, Coding coding, std::size_t most) {
   std::vector<std::string> parts;
   // Moves a cut that would split a character to before that character.
   const auto cut_at = [&](std::size_t at) {
@@ -180,8 +181,8 @@
   return parts;
 }
 
-std::vector<Message> in_parts(const Message& message, std::string_view encoded, Coding coding, Split how,
-                              std::uint16_t reference) {
+std::vector<Message> split_message(const Message& message, std::string_view encoded, Coding coding, Split how,
+                                   std::uint16_t reference) {
   Message base = message;
   base.data_coding = static_cast<std::uint8_t>(coding);
   base.text.clear();
@@ -194,16 +195,16 @@
     base.tlvs.push_back({tag::message_payload, std::string(encoded)});
     return {base};
   }
-  const auto texts = cut(encoded, coding, max_in_part(coding));
+  const auto texts = split_text(encoded, coding, max_in_part(coding));
   if (texts.size() > 255) fail("the text would take more than 255 parts");
   std::vector<Message> parts;
   for (std::size_t i = 0; i < texts.size(); i++) {
     Message& part = parts.emplace_back(base);
     const auto total = static_cast<std::uint8_t>(texts.size()), number = static_cast<std::uint8_t>(i + 1);
     if (how == Split::sar) {
-      part.tlvs.push_back(tlv(tag::sar_msg_ref_num, reference, 2));
-      part.tlvs.push_back(tlv(tag::sar_total_segments, total, 1));
-      part.tlvs.push_back(tlv(tag::sar_segment_seqnum, number, 1));
+      part.tlvs.push_back(make_tlv(tag::sar_msg_ref_num, reference, 2));
+      part.tlvs.push_back(make_tlv(tag::sar_total_segments, total, 1));
+      part.tlvs.push_back(make_tlv(tag::sar_segment_seqnum, number, 1));
       part.text = texts[i];
       continue;
     }
@@ -216,13 +217,14 @@
   return parts;
 }
 
-Taken taken_apart(const Message& m) {
-  Taken t;
-  const auto* payload = find(m.tlvs, tag::message_payload);
+ParsedText parse_text(const Message& m) {
+  ParsedText t;
+  const auto* payload = find_tlv(m.tlvs, tag::message_payload);
   if (payload != nullptr && !m.text.empty()) fail("both short_message and message_payload have text");
   std::string_view text = payload != nullptr ? std::string_view(payload->value) : std::string_view(m.text);
-  const auto total = number(m.tlvs, tag::sar_total_segments), at = number(m.tlvs, tag::sar_segment_seqnum),
-             reference = number(m.tlvs, tag::sar_msg_ref_num);
+  const auto total = tlv_number(m.tlvs, tag::sar_total_segments),
+             at = tlv_number(m.tlvs, tag::sar_segment_seqnum),
+             reference = tlv_number(m.tlvs, tag::sar_msg_ref_num);
   if (total && at && reference)
     t.part =
         validated({static_cast<std::uint16_t>(*reference), static_cast<int>(*at), static_cast<int>(*total)});
@@ -250,37 +252,38 @@
   return t;
 }
 
-void Assembly::give_up(std::vector<Open>::iterator it) {
+void MessageAssembler::discard(std::vector<IncompleteMessage>::iterator it) {
   bytes_ -= it->bytes;
-  open_.erase(it);
+  incomplete_.erase(it);
 }
 
-std::optional<std::string> Assembly::add(const std::string& from, const PartOf& part, std::string text) {
+std::optional<std::string> MessageAssembler::add(const std::string& from, const PartInfo& part,
+                                                 std::string text) {
   const auto find = [&] {
-    return std::find_if(open_.begin(), open_.end(), [&](const Open& o) {
+    return std::find_if(incomplete_.begin(), incomplete_.end(), [&](const IncompleteMessage& o) {
       return o.from == from && o.reference == part.reference &&
              o.parts.size() == static_cast<std::size_t>(part.total);
     });
   };
   const auto number = static_cast<std::size_t>(part.number - 1);
   auto it = find();
-  if (it != open_.end() && it->parts[number]) return std::nullopt;  // a duplicate
-  while (!open_.empty() &&
-         (bytes_ + text.size() > most_bytes_ || (it == open_.end() && open_.size() >= most_))) {
-    give_up(open_.begin());
+  if (it != incomplete_.end() && it->parts[number]) return std::nullopt;  // a duplicate
+  while (!incomplete_.empty() && (bytes_ + text.size() > max_bytes_ ||
+                                  (it == incomplete_.end() && incomplete_.size() >= max_messages_))) {
+    discard(incomplete_.begin());
     it = find();
   }
-  if (it == open_.end()) {
-    open_.push_back({from, part.reference, 0, 0, {}});
-    it = std::prev(open_.end());
+  if (it == incomplete_.end()) {
+    incomplete_.push_back({from, part.reference, 0, 0, {}});
+    it = std::prev(incomplete_.end());
     it->parts.resize(static_cast<std::size_t>(part.total));
   }
-  it->have++, it->bytes += text.size(), bytes_ += text.size();
+  it->received++, it->bytes += text.size(), bytes_ += text.size();
   it->parts[number] = std::move(text);
-  if (it->have < part.total) return std::nullopt;
+  if (it->received < part.total) return std::nullopt;
   std::string whole;
   for (auto& p : it->parts) whole += *p;
-  give_up(it);
+  discard(it);
   return whole;
 }
 
--- a/src/sms/bind_guard.hpp
+++ b/src/sms/bind_guard.hpp
@@ -15,39 +15,40 @@
 
 using Time = std::int64_t;
 
-class BindGuard {
+class BindRateLimiter {
  public:
   struct Settings {
-    int tries = 5;  // consecutive failures that start a delay; for a whole address, eight times as many
-    Time rest = 10'000'000;           // the first delay, us
-    Time rest_max = 600'000'000;      // the longest delay, us
-    std::size_t remembered = 10'000;  // entries kept; the least recently used one is evicted
+    int max_failures =
+        5;  // consecutive failures that start a delay; for a whole address, eight times as many
+    Time initial_delay = 10'000'000;   // the first delay, us
+    Time max_delay = 600'000'000;      // the longest delay, us
+    std::size_t max_entries = 10'000;  // entries kept; the least recently used one is evicted
   };
-  explicit BindGuard(const Settings& settings) : settings_(settings) {}
+  explicit BindRateLimiter(const Settings& settings) : settings_(settings) {}
 
   // Whether a bind attempt may be checked now, or is still blocked by a delay.
-  bool may_try(Time now, const std::string& system_id, const std::string& from);
+  bool may_attempt(Time now, const std::string& system_id, const std::string& from);
   // Records a failed attempt.
-  void wrong(Time now, const std::string& system_id, const std::string& from);
+  void record_failure(Time now, const std::string& system_id, const std::string& from);
   // Records a successful attempt: clears the failures of this system_id from this address.
-  void right(const std::string& system_id, const std::string& from);
-  std::size_t remembered() const { return known_.size(); }
+  void record_success(const std::string& system_id, const std::string& from);
+  std::size_t entry_count() const { return entries_by_key_.size(); }
 
  private:
   struct Entry {
     std::string key;
-    int wrong = 0, rests = 0;  // failures since the last delay; delays since the last quiet period
-    Time until = 0, last = 0;  // blocked until; time of the latest failure
+    int failures = 0, delays = 0;  // failures since the last delay; delays since the last quiet period
+    Time blocked_until = 0, last_failure_at = 0;  // blocked until; time of the latest failure
   };
   // The entry of this key as the most recently used one; creates it where there is none.
   Entry& touch(const std::string& key);
   const Entry* find(const std::string& key) const;
   // Counts a failure; every `tries`-th one starts a delay.
-  void count(Time now, const std::string& key, int tries);
+  void count_failure(Time now, const std::string& key, int tries);
 
   Settings settings_;
-  std::list<Entry> order_;  // most recently used first
-  std::map<std::string, std::list<Entry>::iterator> known_;
+  std::list<Entry> entries_by_use_;  // most recently used first
+  std::map<std::string, std::list<Entry>::iterator> entries_by_key_;
 };
 
 }  // namespace cedarplank::sms
--- a/src/sms/ownership.cpp
+++ b/src/sms/ownership.cpp
@@ -42,23 +42,23 @@
 
 }  // namespace
 
-std::string ownership_of(const Submission& s) {
+std::string encode_ownership(const Submission& s) {
   std::string bytes(kFormatTag);
-  put_field(bytes, s.client), put_field(bytes, s.id), put_field(bytes, std::to_string(s.registered));
-  put_field(bytes, std::to_string(s.receipt.taken_wall)), put_field(bytes, s.receipt.text);
+  put_field(bytes, s.client), put_field(bytes, s.id), put_field(bytes, std::to_string(s.registered_delivery));
+  put_field(bytes, std::to_string(s.receipt.accepted_wall)), put_field(bytes, s.receipt.text);
   put_field(bytes, s.receipt.service_type), put_field(bytes, s.receipt.source),
       put_field(bytes, s.receipt.destination);
   return bytes;
 }
 
-std::optional<Submission> submission_of(std::string_view ownership) {
+std::optional<Submission> decode_ownership(std::string_view ownership) {
   if (ownership.substr(0, kFormatTag.size()) != kFormatTag) return std::nullopt;
   const auto f = split_fields(ownership.substr(kFormatTag.size()));
   if (!f || f->size() != 12) return std::nullopt;
   Submission s;
   s.client = (*f)[0], s.id = s.receipt.message_id = (*f)[1];
-  s.registered = static_cast<std::uint8_t>(parse_number((*f)[2]));
-  s.receipt.taken_wall = parse_number((*f)[3]), s.receipt.text = (*f)[4], s.receipt.service_type = (*f)[5];
+  s.registered_delivery = static_cast<std::uint8_t>(parse_number((*f)[2]));
+  s.receipt.accepted_wall = parse_number((*f)[3]), s.receipt.text = (*f)[4], s.receipt.service_type = (*f)[5];
   s.receipt.source = read_address(*f, 6), s.receipt.destination = read_address(*f, 9);
   return s;
 }
--- a/src/sms/ownership.hpp
+++ b/src/sms/ownership.hpp
@@ -11,9 +11,9 @@
 namespace cedarplank::sms {
 
 // Encodes the fields that a receipt needs.
-std::string ownership_of(const Submission& submission);
+std::string encode_ownership(const Submission& submission);
 // Decodes a record. Nothing where the bytes are not one: written by another protocol server or a later
 // version.
-std::optional<Submission> submission_of(std::string_view ownership);
+std::optional<Submission> decode_ownership(std::string_view ownership);
 
 }  // namespace cedarplank::sms
--- a/src/sms/password.cpp
+++ b/src/sms/password.cpp
@@ -58,7 +58,7 @@
          to_hex(derive_key(password, salt, iterations));
 }
 
-bool matches(const std::string& password, const std::string& hash) {
+bool matches_hash(const std::string& password, const std::string& hash) {
   std::vector<std::string> parts(1);
   for (const char c : hash) {
     if (c == '$')
@@ -74,10 +74,10 @@
   return equal(derive_key(password, from_hex(parts[2]), iterations), from_hex(parts[3]));
 }
 
-Verifier::Verifier() : key_(random_bytes(32)) {}
+PasswordVerifier::PasswordVerifier() : key_(random_bytes(32)) {}
 
-std::string Verifier::digest(const std::string& system_id, const std::string& password,
-                             const std::string& hash) const {
+std::string PasswordVerifier::digest(const std::string& system_id, const std::string& password,
+                                     const std::string& hash) const {
   const std::string all = system_id + '\0' + password + '\0' + hash;
   unsigned char out[EVP_MAX_MD_SIZE];
   unsigned size = 0;
@@ -86,16 +86,17 @@
   return {reinterpret_cast<char*>(out), size};
 }
 
-bool Verifier::known(const std::string& system_id, const std::string& password,
-                     const std::string& hash) const {
-  const auto it = right_.find(system_id);
-  return it != right_.end() && equal(it->second, digest(system_id, password, hash));
+bool PasswordVerifier::is_cached(const std::string& system_id, const std::string& password,
+                                 const std::string& hash) const {
+  const auto it = verified_.find(system_id);
+  return it != verified_.end() && equal(it->second, digest(system_id, password, hash));
 }
 
-bool Verifier::check(const std::string& system_id, const std::string& password, const std::string& hash) {
-  if (known(system_id, password, hash)) return true;
-  if (!matches(password, hash)) return false;
-  right_[system_id] = digest(system_id, password, hash);
+bool PasswordVerifier::verify(const std::string& system_id, const std::string& password,
+                              const std::string& hash) {
+  if (is_cached(system_id, password, hash)) return true;
+  if (!matches_hash(password, hash)) return false;
+  verified_[system_id] = digest(system_id, password, hash);
   return true;
 }
 
--- a/src/sms/semantics.cpp
+++ b/src/sms/semantics.cpp
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-Proof proof_of(smpp::Status s, const config::SmppBack& kind) {
+Proof proof_of(smpp::Status s, const config::SmppEndpointSettings& kind) {
   if (s == st::ok) return Proof::ran;
   if (std::find(kind.unseen.begin(), kind.unseen.end(), s) != kind.unseen.end()) return Proof::refused;
   switch (s) {
@@ -83,14 +83,14 @@
     case st::invalid_tlv_value:
       return Proof::not_run;
     default:
-      return Proof::doubt;  // also for reserved and vendor-specific statuses
+      return Proof::in_doubt;  // also for reserved and vendor-specific statuses
   }
 }
 
-relay::Ending ending_of_response(const smpp::Pdu& response, const config::SmppBack& kind) {
-  relay::Ending e;
+relay::CallResult result_of_response(const smpp::Pdu& response, const config::SmppEndpointSettings& kind) {
+  relay::CallResult e;
   const char* name = smpp::name_of(response.status);
-  e.what = *name != '\0' ? name : "status " + std::to_string(response.status);
+  e.detail = *name != '\0' ? name : "status " + std::to_string(response.status);
   const auto proof = proof_of(response.status, kind);
   // A generic_nack means that the peer could not read the PDU, not that it accepted it, whatever its status.
   if (proof == Proof::ran && response.command == smpp::Command::generic_nack)
@@ -104,19 +104,19 @@
   if (body == nullptr) return e;
   if (e.outcome == Outcome::served) e.location = body->message_id;
   // v5 section 4.8.4.18: 0 idle to 100 congested.
-  if (const auto congestion = smpp::number(body->tlvs, smpp::tag::congestion_state);
+  if (const auto congestion = smpp::tlv_number(body->tlvs, smpp::tag::congestion_state);
       congestion && *congestion <= 100)
     e.report.limit_left = 1 - static_cast<double>(*congestion) / 100;
-  if (const auto wait = smpp::number(body->tlvs, own::wait); wait && kind.own_tags)
+  if (const auto wait = smpp::tlv_number(body->tlvs, own::wait); wait && kind.own_tags)
     e.told_wait = std::min<Time>(static_cast<Time>(*wait) * kSecond, kMaxToldWait);
   return e;
 }
 
-relay::Ending ending_of_parts(const std::vector<relay::Ending>& parts, bool sent_all) {
-  relay::Ending whole;
-  whole.outcome = Outcome::not_sent, whole.what = "nothing was sent";
+relay::CallResult result_of_parts(const std::vector<relay::CallResult>& parts, bool sent_all) {
+  relay::CallResult whole;
+  whole.outcome = Outcome::not_sent, whole.detail = "nothing was sent";
   std::size_t ran = 0, not_run = 0;
-  const relay::Ending* worst = nullptr;
+  const relay::CallResult* worst = nullptr;
   for (const auto& p : parts) {
     whole.told_wait = std::max(whole.told_wait, p.told_wait);
     if (p.report.limit_left >= 0) whole.report = p.report;
@@ -134,18 +134,19 @@
   }
   if (worst == nullptr) {
     if (ran > 0) whole.outcome = sent_all ? Outcome::served : Outcome::error;
-    if (ran > 0) whole.what = sent_all ? parts.back().what : "some of its parts were never sent";
+    if (ran > 0) whole.detail = sent_all ? parts.back().detail : "some of its parts were never sent";
     return whole;
   }
-  whole.what = worst->what;
+  whole.detail = worst->detail;
   whole.outcome = worst->outcome;
   if (ran > 0 && not_run > 0 && ran + not_run == parts.size())
-    whole.outcome = Outcome::error, whole.what += " for a part, after others were taken";
+    whole.outcome = Outcome::error, whole.detail += " for a part, after others were taken";
   whole.location.clear();
   return whole;
 }
 
-const char* unfit(const config::SmppBack& kind, const relay::NewMessage& m, Effect effect) {
+const char* unsupported_reason(const config::SmppEndpointSettings& kind, const relay::NewMessage& m,
+                               Effect effect) {
   if (m.recipient.empty() && kind.recipient.empty())
     return "the destination takes short messages: the Recipient field is missing";
   if (effect == Effect::keyed && !kind.own_tags)
@@ -153,7 +154,7 @@
   return nullptr;
 }
 
-smpp::Address address_of(const std::string& text) {
+smpp::Address parse_address(const std::string& text) {
   if (text.empty()) return {};
   const bool plus = text.front() == '+';
   const std::string rest = text.substr(plus ? 1 : 0);
@@ -162,9 +163,9 @@
   return {5, 0, text};
 }
 
-std::string text_of(const smpp::Address& a) { return a.ton == 1 ? "+" + a.digits : a.digits; }
+std::string format_address(const smpp::Address& a) { return a.ton == 1 ? "+" + a.digits : a.digits; }
 
-std::string relative_time(Time span) {
+std::string format_relative_time(Time span) {
   // Section 7.1.1.2 has years and months too, but their length varies, so only days and smaller units are
   // used.
   auto s = std::max<Time>(1, (span + kSecond - 1) / kSecond);
@@ -173,7 +174,7 @@
          two_digits(s % 60) + "000R";
 }
 
-std::string receipt_time(Time wall) {
+std::string format_receipt_time(Time wall) {
   const tm t = utc(wall);
   return two_digits(t.tm_year) + two_digits(t.tm_mon + 1) + two_digits(t.tm_mday) + two_digits(t.tm_hour) +
          two_digits(t.tm_min);
@@ -209,33 +210,34 @@
   return std::max<Time>(0, at - wall);
 }
 
-std::vector<smpp::Message> submits_of(const relay::NewMessage& m, const std::string& message_class,
-                                      const config::SmppBack& kind, Time left, std::uint16_t reference) {
+std::vector<smpp::Message> encode_submits(const relay::NewMessage& m, const std::string& message_class,
+                                          const config::SmppEndpointSettings& kind, Time left,
+                                          std::uint16_t reference) {
   smpp::Message s;
   const auto type = kind.service_types.find(message_class);
   if (type != kind.service_types.end()) s.service_type = type->second;
-  s.source = address_of(m.sender.empty() ? kind.sender : m.sender);
-  s.destination = address_of(m.recipient.empty() ? kind.recipient : m.recipient);
+  s.source = parse_address(m.sender.empty() ? kind.sender : m.sender);
+  s.destination = parse_address(m.recipient.empty() ? kind.recipient : m.recipient);
   if (s.destination.digits.empty()) throw std::invalid_argument("no recipient");
   s.priority = priority_of(m.urgency);
-  s.validity = relative_time(left);
+  s.validity = format_relative_time(left);
   if (kind.own_tags && !m.idempotency_key.empty()) s.tlvs.push_back({own::key, m.idempotency_key});
   if (kind.own_tags && !m.topic.empty()) s.tlvs.push_back({own::topic, m.topic});
-  using Long = config::SmppBack::Long;
+  using Long = config::SmppEndpointSettings::LongMessageMode;
   const auto how = kind.long_messages == Long::udh   ? smpp::Split::udh
                    : kind.long_messages == Long::sar ? smpp::Split::sar
                                                      : smpp::Split::payload;
-  const auto coding = is_text(m) ? smpp::fewest_parts(m.body) : std::nullopt;
-  if (!coding) return smpp::in_parts(s, m.body, smpp::Coding::octets, how, reference);
-  return smpp::in_parts(s, *smpp::to_coding(m.body, *coding), *coding, how, reference);
+  const auto coding = is_text(m) ? smpp::shortest_coding(m.body) : std::nullopt;
+  if (!coding) return smpp::split_message(s, m.body, smpp::Coding::octets, how, reference);
+  return smpp::split_message(s, *smpp::encode_text(m.body, *coding), *coding, how, reference);
 }
 
-std::optional<Content> content_of(std::string_view text, std::uint8_t data_coding) {
+std::optional<Content> decode_content(std::string_view text, std::uint8_t data_coding) {
   using smpp::Coding;
   // Section 5.2.19: 0 the default alphabet, 1 ASCII, 3 Latin-1, 8 UCS-2, 2 and 4 octets. Any other
   // value is treated as octets.
   const auto as = [&](Coding c) -> std::optional<Content> {
-    auto utf8 = smpp::from_coding(text, c);
+    auto utf8 = smpp::decode_text(text, c);
     if (!utf8) return std::nullopt;
     return Content{std::move(*utf8), "text/plain;charset=utf-8"};
   };
@@ -254,7 +256,7 @@
   }
 }
 
-smpp::Message receipt_of(const Receipt& r) {
+smpp::Message encode_receipt(const Receipt& r) {
   using State = Receipt::State;
   const bool served = r.state == State::served;
   const std::uint8_t state = served ? kDelivered : r.state == State::refused ? kRejected : kUnknown;
@@ -266,24 +268,25 @@
   std::string plain;
   for (const char c : r.text.substr(0, 20)) plain += c >= ' ' && c < 0x7f ? c : '.';
   m.text = "id:" + r.message_id + " sub:001 dlvrd:" + (served ? "001" : "000") +
-           " submit date:" + receipt_time(r.taken_wall) + " done date:" + receipt_time(r.ended_wall) +
-           " stat:" + stat + " err:000 text:" + plain;
+           " submit date:" + format_receipt_time(r.accepted_wall) +
+           " done date:" + format_receipt_time(r.ended_wall) + " stat:" + stat + " err:000 text:" + plain;
   m.tlvs.push_back({smpp::tag::receipted_message_id, r.message_id + '\0'});
-  m.tlvs.push_back(smpp::tlv(smpp::tag::message_state, state, 1));
+  m.tlvs.push_back(smpp::make_tlv(smpp::tag::message_state, state, 1));
   if (r.come_back > 0)
     m.tlvs.push_back(
-        smpp::tlv(own::wait, static_cast<std::uint32_t>((r.come_back + kSecond - 1) / kSecond), 4));
+        smpp::make_tlv(own::wait, static_cast<std::uint32_t>((r.come_back + kSecond - 1) / kSecond), 4));
   return m;
 }
 
-std::optional<ReceiptSays> read_receipt(const smpp::Message& m) {
+std::optional<ReceiptFields> parse_receipt(const smpp::Message& m) {
   if ((m.esm_class & 0x3c) != kEsmReceipt) return std::nullopt;
-  ReceiptSays says;
-  if (const auto* id = smpp::find(m.tlvs, smpp::tag::receipted_message_id))
+  ReceiptFields says;
+  if (const auto* id = smpp::find_tlv(m.tlvs, smpp::tag::receipted_message_id))
     says.message_id = id->value.substr(0, id->value.find('\0'));
-  if (const auto state = smpp::number(m.tlvs, smpp::tag::message_state))
+  if (const auto state = smpp::tlv_number(m.tlvs, smpp::tag::message_state))
     says.state = static_cast<std::uint8_t>(*state);
-  if (const auto wait = smpp::number(m.tlvs, own::wait)) says.come_back = static_cast<Time>(*wait) * kSecond;
+  if (const auto wait = smpp::tlv_number(m.tlvs, own::wait))
+    says.come_back = static_cast<Time>(*wait) * kSecond;
   const auto field = [&](const char* key) {
     const auto at = m.text.find(key);
     if (at == std::string::npos) return std::string();
--- a/src/sms/semantics.hpp
+++ b/src/sms/semantics.hpp
@@ -30,29 +30,31 @@
   ran,      // accepted
   refused,  // not run: the endpoint is short of capacity now
   not_run,  // not run: because of its content or its addresses; the endpoint itself may be healthy
-  doubt     // it may have run
+  in_doubt  // it may have run
 };
 // `kind.unseen` lists further statuses that prove that the submit was refused.
-Proof proof_of(smpp::Status status, const config::SmppBack& kind);
+Proof proof_of(smpp::Status status, const config::SmppEndpointSettings& kind);
 
 // The outcome of a response to one submit_sm.
-relay::Ending ending_of_response(const smpp::Pdu& response, const config::SmppBack& kind);
+relay::CallResult result_of_response(const smpp::Pdu& response, const config::SmppEndpointSettings& kind);
 // The outcome of a message from the outcomes of its parts; `sent_all`: no part was left unsent. Accepted
 // parts cannot be withdrawn, so a refused part among accepted ones leaves the outcome in doubt.
-relay::Ending ending_of_parts(const std::vector<relay::Ending>& parts, bool sent_all);
+relay::CallResult result_of_parts(const std::vector<relay::CallResult>& parts, bool sent_all);
 
 // Why a message can never be sent to an endpoint of this kind, whatever the endpoint's state; null: it can.
-const char* unfit(const config::SmppBack& kind, const relay::NewMessage& message, Effect effect);
+const char* unsupported_reason(const config::SmppEndpointSettings& kind, const relay::NewMessage& message,
+                               Effect effect);
 
 // The submit_sm requests for a message, one for each part. `left`: the time until its deadline, us. Throws
 // std::invalid_argument where SMPP cannot express the message.
-std::vector<smpp::Message> submits_of(const relay::NewMessage& message, const std::string& message_class,
-                                      const config::SmppBack& kind, Time left, std::uint16_t reference);
+std::vector<smpp::Message> encode_submits(const relay::NewMessage& message, const std::string& message_class,
+                                          const config::SmppEndpointSettings& kind, Time left,
+                                          std::uint16_t reference);
 
 // Converts a number or name to an address with the types of sections 5.2.5 and 5.2.6: "+..." is
 // international, digits alone are of unknown type, anything else is alphanumeric.
-smpp::Address address_of(const std::string& text);
-std::string text_of(const smpp::Address& address);
+smpp::Address parse_address(const std::string& text);
+std::string format_address(const smpp::Address& address);
 
 // ---- From a client ----
 
@@ -60,15 +62,15 @@
 // it lies in the past. Relative times count from `wall`. Nothing where the text has neither form; the caller
 // handles an empty one.
 std::optional<Time> time_until(const std::string& text, Time wall);
-std::string relative_time(Time span);  // section 7.1.1.2, whole seconds, rounded up
-std::string receipt_time(Time wall);   // appendix B: YYMMDDhhmm
+std::string format_relative_time(Time span);  // section 7.1.1.2, whole seconds, rounded up
+std::string format_receipt_time(Time wall);   // appendix B: YYMMDDhhmm
 
 // A message's text as a body: UTF-8 with its content type, or the octets unchanged.
 struct Content {
   std::string body, type;
 };
 // Decodes a text. Nothing where the bytes are not valid in the alphabet that data_coding names.
-std::optional<Content> content_of(std::string_view text, std::uint8_t data_coding);
+std::optional<Content> decode_content(std::string_view text, std::uint8_t data_coding);
 
 // A final answer as a delivery receipt (appendix B, and the parameters of section 5.3.2).
 struct Receipt {
@@ -76,20 +78,20 @@
   std::string message_id;
   State state = State::failed;
   Time come_back = 0;  // refused: when the client may submit it again, us from now; 0: not given
-  Time taken_wall = 0, ended_wall = 0;  // when it was accepted and when it ended, us since 1970
-  std::string text;                     // the beginning of the message's text
+  Time accepted_wall = 0, ended_wall = 0;  // when it was accepted and when it ended, us since 1970
+  std::string text;                        // the beginning of the message's text
   smpp::Address source, destination;
   std::string service_type;
 };
-smpp::Message receipt_of(const Receipt& receipt);
+smpp::Message encode_receipt(const Receipt& receipt);
 // The contents of a receipt that a message centre sent.
-struct ReceiptSays {
+struct ReceiptFields {
   std::string message_id;
   std::uint8_t state = 0;  // section 5.2.28
   Time come_back = 0;
 };
 // Nothing where the message is not a receipt.
-std::optional<ReceiptSays> read_receipt(const smpp::Message& message);
+std::optional<ReceiptFields> parse_receipt(const smpp::Message& message);
 
 // message_state, section 5.2.28.
 constexpr std::uint8_t kDelivered = 2, kExpired = 3, kDeleted = 4, kUndeliverable = 5, kAccepted = 6,
--- a/src/sms/submissions.cpp
+++ b/src/sms/submissions.cpp
@@ -5,82 +5,83 @@
 
 namespace cedarplank::sms {
 
-bool Submissions::has_room(const std::string& client, std::size_t have, std::size_t most,
-                           std::size_t bytes) const {
-  const auto it = waiting_.find(client);
-  const std::size_t own = it == waiting_.end() ? 0 : it->second;
+bool Submissions::has_capacity(const std::string& client, std::size_t have, std::size_t most,
+                               std::size_t bytes) const {
+  const auto it = waiting_by_client_.find(client);
+  const std::size_t own = it == waiting_by_client_.end() ? 0 : it->second;
   return have < most && own < (settings_.parts_max + settings_.scheduled_max) / 2 &&
          bytes_ + bytes <= settings_.bytes_max;
 }
 
-void Submissions::counted(const std::string& client, int by) {
-  const auto it = waiting_.try_emplace(client, 0).first;
+void Submissions::adjust_waiting(const std::string& client, int by) {
+  const auto it = waiting_by_client_.try_emplace(client, 0).first;
   it->second = static_cast<std::size_t>(static_cast<std::int64_t>(it->second) + by);
-  if (it->second == 0) waiting_.erase(it);
+  if (it->second == 0) waiting_by_client_.erase(it);
 }
 
-Submissions::Added Submissions::add_part(Time now, const std::string& key, const smpp::PartOf& part,
+Submissions::Added Submissions::add_part(Time now, const std::string& key, const smpp::PartInfo& part,
                                          Submission submission, std::string text) {
   Added added;
-  auto it = parts_.find(key);
-  const bool is_new = it == parts_.end();
-  if (!is_new && it->second.total == part.total && it->second.texts.count(part.number) > 0)
-    return {Part::again, it->second.submission.id, {}};
+  auto it = incomplete_.find(key);
+  const bool is_new = it == incomplete_.end();
+  if (!is_new && it->second.total == part.total && it->second.part_texts.count(part.number) > 0)
+    return {Part::duplicate, it->second.submission.id, {}};
   if (!is_new && it->second.total != part.total) return added;
-  if (is_new ? !has_room(submission.client, parts_.size(), settings_.parts_max, text.size())
+  if (is_new ? !has_capacity(submission.client, incomplete_.size(), settings_.parts_max, text.size())
              : bytes_ + text.size() > settings_.bytes_max)
     return added;
   if (is_new) {
-    counted(submission.client, 1);
-    const Time due = std::min(submission.ends, now + settings_.parts_within);
+    adjust_waiting(submission.client, 1);
+    const Time due = std::min(submission.expires_at, now + settings_.parts_timeout);
     parts_due_.insert({due, key});
-    it = parts_.emplace(key, Open{std::move(submission), due, part.total, 0, 0, {}}).first;
+    it = incomplete_.emplace(key, IncompleteMessage{std::move(submission), due, part.total, 0, 0, {}}).first;
   } else {
     // A receipt is sent where any part asks for one.
-    it->second.submission.registered |= submission.registered;
+    it->second.submission.registered_delivery |= submission.registered_delivery;
   }
-  Open& open = it->second;
+  IncompleteMessage& open = it->second;
   added.id = open.submission.id;
-  open.have++, open.bytes += text.size(), bytes_ += text.size();
-  open.texts[part.number] = std::move(text);
+  open.received++, open.bytes += text.size(), bytes_ += text.size();
+  open.part_texts[part.number] = std::move(text);
   added.part = is_new ? Part::first : Part::more;
-  if (open.have < open.total) return added;
-  added.part = Part::whole;
-  for (auto& [number, piece] : open.texts) open.submission.request.body += piece;
+  if (open.received < open.total) return added;
+  added.part = Part::completed;
+  for (auto& [number, piece] : open.part_texts) open.submission.request.body += piece;
   bytes_ -= open.bytes;
   parts_due_.erase({open.due, key});
-  counted(open.submission.client, -1);
-  added.whole = std::move(open.submission);
-  parts_.erase(it);
+  adjust_waiting(open.submission.client, -1);
+  added.completed = std::move(open.submission);
+  incomplete_.erase(it);
   return added;
 }
 
 bool Submissions::schedule(Submission& s) {
-  if (!has_room(s.client, scheduled_.size(), settings_.scheduled_max, s.request.body.size())) return false;
-  counted(s.client, 1);
+  if (!has_capacity(s.client, scheduled_.size(), settings_.scheduled_max, s.request.body.size()))
+    return false;
+  adjust_waiting(s.client, 1);
   bytes_ += s.request.body.size();
   const Key key{s.id, next_number_++};
-  scheduled_due_.insert({s.starts, key});
+  scheduled_due_.insert({s.not_before, key});
   scheduled_[key] = std::move(s);
   return true;
 }
 
-void Submissions::due(Time now, std::vector<Submission>& start, std::vector<Submission>& incomplete) {
+void Submissions::take_due(Time now, std::vector<Submission>& start, std::vector<Submission>& incomplete) {
   while (!scheduled_due_.empty() && scheduled_due_.begin()->first <= now) {
     const auto it = scheduled_.find(scheduled_due_.begin()->second);
     scheduled_due_.erase(scheduled_due_.begin());
     bytes_ -= it->second.request.body.size();
-    counted(it->second.client, -1);
+    adjust_waiting(it->second.client, -1);
     start.push_back(std::move(it->second));
     scheduled_.erase(it);
   }
   while (!parts_due_.empty() && parts_due_.begin()->first <= now) {
-    const auto it = parts_.find(parts_due_.begin()->second);
+    const auto it = incomplete_.find(parts_due_.begin()->second);
     parts_due_.erase(parts_due_.begin());
     bytes_ -= it->second.bytes;
-    counted(it->second.submission.client, -1);
+    adjust_waiting(it->second.submission.client, -1);
     incomplete.push_back(std::move(it->second.submission));
-    parts_.erase(it);
+    incomplete_.erase(it);
   }
 }
 
@@ -93,32 +94,32 @@
 
 std::vector<Submission> Submissions::take_all() {
   std::vector<Submission> all;
-  due(std::numeric_limits<Time>::max(), all, all);
+  take_due(std::numeric_limits<Time>::max(), all, all);
   return all;
 }
 
-void Submissions::with_relay(MessageId message, Submission s) {
-  by_id_.emplace(s.id, message);
+void Submissions::add_accepted(MessageId message, Submission s) {
+  accepted_by_id_.emplace(s.id, message);
   by_connection_[s.connection]++;
-  relay_[message] = std::move(s);
+  accepted_[message] = std::move(s);
 }
 
-std::optional<Submission> Submissions::ended(MessageId message) {
-  const auto it = relay_.find(message);
-  if (it == relay_.end()) return std::nullopt;
+std::optional<Submission> Submissions::remove_ended(MessageId message) {
+  const auto it = accepted_.find(message);
+  if (it == accepted_.end()) return std::nullopt;
   Submission s = std::move(it->second);
-  relay_.erase(it);
+  accepted_.erase(it);
   if (const auto at = by_connection_.find(s.connection); --at->second == 0) by_connection_.erase(at);
-  const auto [from, to] = by_id_.equal_range(s.id);
+  const auto [from, to] = accepted_by_id_.equal_range(s.id);
   for (auto at = from; at != to; ++at)
     if (at->second == message) {
-      by_id_.erase(at);
+      accepted_by_id_.erase(at);
       break;
     }
   return s;
 }
 
-std::size_t Submissions::with_relay(std::uint64_t connection) const {
+std::size_t Submissions::accepted_count(std::uint64_t connection) const {
   const auto it = by_connection_.find(connection);
   return it == by_connection_.end() ? 0 : it->second;
 }
@@ -128,17 +129,17 @@
   for (const auto& key : scheduled(client, id)) {
     const auto it = scheduled_.find(key);
     bytes_ -= it->second.request.body.size();
-    scheduled_due_.erase({it->second.starts, key});
+    scheduled_due_.erase({it->second.not_before, key});
     scheduled_.erase(it);
-    counted(client, -1);
+    adjust_waiting(client, -1);
     c.found = true;
   }
-  const auto [from, to] = by_id_.equal_range(id);
+  const auto [from, to] = accepted_by_id_.equal_range(id);
   for (auto at = from; at != to; ++at)
-    if (relay_.at(at->second).client == client) c.messages.push_back(at->second);
-  for (const auto message : c.messages) ended(message);
+    if (accepted_.at(at->second).client == client) c.messages.push_back(at->second);
+  for (const auto message : c.messages) remove_ended(message);
   c.found = c.found || !c.messages.empty();
-  if (c.found) note_end(client, id, kDeleted, wall);
+  if (c.found) record_final_state(client, id, kDeleted, wall);
   return c;
 }
 
@@ -159,35 +160,36 @@
   for (const auto& key : keys) {
     Submission& s = scheduled_.at(key);
     s.request.body = content.body, s.request.content_type = content.type;
-    scheduled_due_.erase({s.starts, key});
-    s.starts = starts.value_or(s.starts), s.ends = ends.value_or(s.ends);
-    scheduled_due_.insert({s.starts, key});
+    scheduled_due_.erase({s.not_before, key});
+    s.not_before = starts.value_or(s.not_before), s.expires_at = ends.value_or(s.expires_at);
+    scheduled_due_.insert({s.not_before, key});
   }
   return true;
 }
 
 std::optional<Submissions::State> Submissions::state(const std::string& client, const std::string& id) const {
   if (!scheduled(client, id).empty()) return State{};
-  const auto [from, to] = by_id_.equal_range(id);
+  const auto [from, to] = accepted_by_id_.equal_range(id);
   for (auto it = from; it != to; ++it)
-    if (relay_.at(it->second).client == client) return State{};
-  for (const auto& [key, open] : parts_)
+    if (accepted_.at(it->second).client == client) return State{};
+  for (const auto& [key, open] : incomplete_)
     if (open.submission.id == id && open.submission.client == client) return State{};
-  const auto end = ends_.find(id);
-  if (end == ends_.end() || end->second.first != client) return std::nullopt;
+  const auto end = final_states_.find(id);
+  if (end == final_states_.end() || end->second.first != client) return std::nullopt;
   return end->second.second;
 }
 
-void Submissions::note_end(const std::string& client, const std::string& id, std::uint8_t state, Time wall) {
+void Submissions::record_final_state(const std::string& client, const std::string& id, std::uint8_t state,
+                                     Time wall) {
   if (settings_.states_max == 0) return;
-  const auto [it, fresh] = ends_.try_emplace(id, std::pair(client, State{state, wall}));
+  const auto [it, fresh] = final_states_.try_emplace(id, std::pair(client, State{state, wall}));
   // For several recipients under one id, the worst state is reported: delivered only where all were.
   if (!fresh && it->second.second.state == kDelivered) it->second.second = {state, wall};
   if (!fresh) return;
-  ends_order_.push_back(id);
-  if (ends_order_.size() <= settings_.states_max) return;
-  ends_.erase(ends_order_.front());
-  ends_order_.pop_front();
+  final_states_order_.push_back(id);
+  if (final_states_order_.size() <= settings_.states_max) return;
+  final_states_.erase(final_states_order_.front());
+  final_states_order_.pop_front();
 }
 
 }  // namespace cedarplank::sms
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -73,9 +73,9 @@
  public:
   PosixFolder(const std::string& path, bool create_if_missing)
       : path_(path), fd_(make(path, create_if_missing)), lock_(take_lock(path, fd_.get())) {}
-  std::error_code open(const std::string& name, Open how, std::unique_ptr<File>& out) override {
+  std::error_code open(const std::string& name, OpenMode how, std::unique_ptr<File>& out) override {
     const int fd = openat(fd_.get(), name.c_str(),
-                          O_RDWR | O_CLOEXEC | (how == Open::create ? O_CREAT | O_EXCL : 0), 0600);
+                          O_RDWR | O_CLOEXEC | (how == OpenMode::create ? O_CREAT | O_EXCL : 0), 0600);
     if (fd < 0) return last_error();
     out = std::make_unique<PosixFile>(fd);
     return {};
@@ -129,8 +129,8 @@
 
 }  // namespace
 
-std::unique_ptr<Files> open_folder(const std::string& path, Folder how) {
-  return std::make_unique<PosixFolder>(path, how == Folder::made);
+std::unique_ptr<Files> open_folder(const std::string& path, FolderMode how) {
+  return std::make_unique<PosixFolder>(path, how == FolderMode::create_if_missing);
 }
 
 }  // namespace cedarplank::store
--- a/src/store/files.hpp
+++ b/src/store/files.hpp
@@ -28,8 +28,8 @@
 class Files {
  public:
   virtual ~Files() = default;
-  enum class Open { existing, create };
-  virtual std::error_code open(const std::string& name, Open how, std::unique_ptr<File>& out) = 0;
+  enum class OpenMode { existing, create };
+  virtual std::error_code open(const std::string& name, OpenMode how, std::unique_ptr<File>& out) = 0;
   virtual std::error_code list(std::vector<std::string>& names) = 0;
   virtual std::error_code rename(const std::string& from, const std::string& to) = 0;
   virtual std::error_code remove(const std::string& name) = 0;
@@ -39,7 +39,7 @@
 // Opens a folder of the file system, creates it if it is missing and asked for, and locks it for this process
 // while the object lives. Throws std::system_error that names the folder;
 // std::errc::resource_unavailable_try_again if another process holds the lock.
-enum class Folder { made, existing };  // made: created if missing
-std::unique_ptr<Files> open_folder(const std::string& path, Folder how = Folder::made);
+enum class FolderMode { create_if_missing, must_exist };  // made: created if missing
+std::unique_ptr<Files> open_folder(const std::string& path, FolderMode how = FolderMode::create_if_missing);
 
 }  // namespace cedarplank::store
--- a/src/store/inspect.cpp
+++ b/src/store/inspect.cpp
@@ -8,7 +8,7 @@
 std::error_code read_whole(Files& files, const std::string& name, std::string& bytes) {
   std::unique_ptr<File> file;
   std::uint64_t size = 0;
-  auto error = files.open(name, Files::Open::existing, file);
+  auto error = files.open(name, Files::OpenMode::existing, file);
   if (!error) error = file->size(size);
   if (!error) error = file->read(0, size, bytes);
   return error;
@@ -16,56 +16,60 @@
 
 }  // namespace
 
-Inspected inspect(Files& files, const std::function<void(Sequence, std::string_view)>& record) {
-  Inspected in;
+Inspection inspect(Files& files, const std::function<void(Sequence, std::string_view)>& record) {
+  Inspection in;
   LogSettings settings;
   settings.read_only = true;
   Log log(files, settings, 0);
   const auto opened = log.open([&](Sequence s, std::string_view bytes) {
-    in.bytes += Log::kHead + bytes.size();
+    in.bytes += Log::kRecordHeaderSize + bytes.size();
     record(s, bytes);
   });
-  in.version = Log::kVersion, in.id = log.id(), in.segments = log.segments(), in.spare = log.spares();
-  in.first = opened.first, in.next = log.next(), in.torn = opened.torn, in.problem = opened.problem;
+  in.version = Log::kFormatVersion, in.id = log.id(), in.segments = log.segments(), in.spares = log.spares();
+  in.first = opened.first, in.next = log.next(), in.torn_bytes = opened.torn_bytes,
+  in.problem = opened.problem;
   return in;
 }
 
-Salvaged salvage(Files& files, const std::function<void(Sequence, std::string_view)>& record,
-                 Unreadable unreadable) {
-  Salvaged out;
-  const auto fail = [&](LogProblem::What kind, std::string text) {
+SalvageResult salvage(Files& files, const std::function<void(Sequence, std::string_view)>& record,
+                      UnreadableSegments unreadable) {
+  SalvageResult out;
+  const auto fail = [&](LogProblem::Kind kind, std::string text) {
     out.problem = LogProblem{kind, std::move(text)};
     return out;
   };
   std::vector<std::string> names;
-  if (const auto e = files.list(names)) return fail(LogProblem::What::io, e.message());
-  std::erase_if(names, [](const auto& n) { return !Log::first_of(n); });
+  if (const auto e = files.list(names)) return fail(LogProblem::Kind::io, e.message());
+  std::erase_if(names, [](const auto& n) { return !Log::parse_segment_name(n); });
   std::sort(names.begin(), names.end());
   std::string bytes;
   std::optional<std::uint64_t> id;
   std::string newer;
   for (const auto& name : names) {
     if (const auto e = read_whole(files, name, bytes)) {
-      if (unreadable == Unreadable::problem) return fail(LogProblem::What::io, name + ": " + e.message());
+      if (unreadable == UnreadableSegments::problem)
+        return fail(LogProblem::Kind::io, name + ": " + e.message());
       continue;
     }
-    out.above = std::max<Sequence>(out.above, *Log::first_of(name) + bytes.size() / Log::kHead + 1);
-    const auto head = Log::head_of(bytes);
-    if (head && head->version > Log::kVersion && newer.empty()) newer = name;
+    out.sequence_limit = std::max<Sequence>(
+        out.sequence_limit, *Log::parse_segment_name(name) + bytes.size() / Log::kRecordHeaderSize + 1);
+    const auto head = Log::parse_segment_header(bytes);
+    if (head && head->version > Log::kFormatVersion && newer.empty()) newer = name;
     if (head && !id) id = head->id;
   }
-  if (!newer.empty()) return fail(LogProblem::What::newer, newer + ": of a later version");
-  if (!id) return fail(LogProblem::What::not_a_log, "no segment has a readable header");
+  if (!newer.empty()) return fail(LogProblem::Kind::newer_version, newer + ": of a later version");
+  if (!id) return fail(LogProblem::Kind::not_a_log, "no segment has a readable header");
   out.id = *id;
   Sequence next = 0;
   for (const auto& name : names) {
     if (const auto e = read_whole(files, name, bytes)) {
-      if (unreadable == Unreadable::problem) return fail(LogProblem::What::io, name + ": " + e.message());
+      if (unreadable == UnreadableSegments::problem)
+        return fail(LogProblem::Kind::io, name + ": " + e.message());
       continue;  // its records count as lost
     }
     const std::string_view view(bytes);
-    if (next == 0) next = *Log::first_of(name);
-    for (std::size_t at = Log::kSegmentHead; at + Log::kHead <= view.size();) {
+    if (next == 0) next = *Log::parse_segment_name(name);
+    for (std::size_t at = Log::kSegmentHeaderSize; at + Log::kRecordHeaderSize <= view.size();) {
       const auto r = Log::read_at(view, at, *id);
       // Records left by an earlier use of the segment have lower numbers.
       if (!r.found || r.sequence < next) {
@@ -75,10 +79,10 @@
         at = zeros == std::string_view::npos ? view.size() : std::max(at + 1, zeros < 4 ? 0 : zeros - 4);
         continue;
       }
-      if (r.sequence > next) out.lost.emplace_back(next, r.sequence - 1);
+      if (r.sequence > next) out.lost_ranges.emplace_back(next, r.sequence - 1);
       record(r.sequence, r.bytes);
       out.records++, next = r.sequence + 1, at += r.size;
-      out.above = std::max(out.above, next);
+      out.sequence_limit = std::max(out.sequence_limit, next);
     }
   }
   return out;
--- a/src/store/log.cpp
+++ b/src/store/log.cpp
@@ -33,9 +33,9 @@
 
 std::string make_segment_header(std::uint64_t id, Sequence first) {
   std::string head(kMagic, sizeof kMagic);
-  put(head, Log::kVersion), put(head, std::uint32_t{0});
+  put(head, Log::kFormatVersion), put(head, std::uint32_t{0});
   put(head, id), put(head, first);
-  head.resize(Log::kSegmentHead - 8);
+  head.resize(Log::kSegmentHeaderSize - 8);
   put(head, static_cast<std::uint64_t>(XXH3_64bits(head.data(), head.size())));
   return head;
 }
@@ -45,13 +45,13 @@
 Log::Log(Files& files, const LogSettings& settings, std::uint64_t id)
     : files_(files), settings_(settings), id_(id) {}
 
-std::string Log::name_of(Sequence first) const {
+std::string Log::segment_name(Sequence first) const {
   char name[32];
   snprintf(name, sizeof name, "%s%016llx", kSegmentPrefix, static_cast<unsigned long long>(first));
   return name;
 }
 
-std::optional<Sequence> Log::first_of(const std::string& name) {
+std::optional<Sequence> Log::parse_segment_name(const std::string& name) {
   unsigned long long first = 0;
   int used = 0;
   if (name.size() == 20 && name.rfind(kSegmentPrefix, 0) == 0 &&
@@ -60,35 +60,36 @@
   return std::nullopt;
 }
 
-std::optional<Log::SegmentHead> Log::head_of(std::string_view segment) {
-  if (segment.size() < kSegmentHead || std::memcmp(segment.data(), kMagic, sizeof kMagic) != 0)
+std::optional<Log::SegmentHeader> Log::parse_segment_header(std::string_view segment) {
+  if (segment.size() < kSegmentHeaderSize || std::memcmp(segment.data(), kMagic, sizeof kMagic) != 0)
     return std::nullopt;
-  SegmentHead head{get<std::uint32_t>(segment, 16), get<std::uint64_t>(segment, 24),
-                   get<std::uint64_t>(segment, 32)};
-  if (head.version <= kVersion && segment.substr(0, kSegmentHead) != make_segment_header(head.id, head.first))
+  SegmentHeader head{get<std::uint32_t>(segment, 16), get<std::uint64_t>(segment, 24),
+                     get<std::uint64_t>(segment, 32)};
+  if (head.version <= kFormatVersion &&
+      segment.substr(0, kSegmentHeaderSize) != make_segment_header(head.id, head.first))
     return std::nullopt;
   return head;
 }
 
 // Accepts any length within the segment, because the limit on record size may have been different when the
 // record was written.
-Log::Read Log::read_at(std::string_view segment, std::size_t at, std::uint64_t id) {
-  Read r;
-  if (at + kHead > segment.size()) return r;
+Log::ReadRecord Log::read_at(std::string_view segment, std::size_t at, std::uint64_t id) {
+  ReadRecord r;
+  if (at + kRecordHeaderSize > segment.size()) return r;
   const auto length = get<std::uint32_t>(segment, at);
-  if (length == 0 || at + kHead + length > segment.size()) return r;
-  const auto bytes = segment.substr(at + kHead, length);
+  if (length == 0 || at + kRecordHeaderSize + length > segment.size()) return r;
+  const auto bytes = segment.substr(at + kRecordHeaderSize, length);
   if (get<std::uint64_t>(segment, at + 24) != checksum(id, segment.substr(at, 24), bytes)) return r;
   r.found = true;
   r.sequence = get<std::uint64_t>(segment, at + 8), r.durable = get<std::uint64_t>(segment, at + 16);
-  r.bytes = bytes, r.size = kHead + length;
+  r.bytes = bytes, r.size = kRecordHeaderSize + length;
   return r;
 }
 
 // Whether a later record in the segment says that `broken` had been durable when it was written. If none
 // does, the break is from a commit that was never finished, of which any part may be on the disk.
-bool Log::proves_loss(std::string_view segment, std::size_t from, Sequence broken) const {
-  for (std::size_t at = from; at + kHead <= segment.size(); at++) {
+bool Log::proves_corruption(std::string_view segment, std::size_t from, Sequence broken) const {
+  for (std::size_t at = from; at + kRecordHeaderSize <= segment.size(); at++) {
     const auto sequence = get<std::uint64_t>(segment, at + 8);
     if (sequence == 0) {  // most of an allocated segment is zeros: skip to the first non-zero byte
       const auto next = segment.find_first_not_of('\0', at + 8);
@@ -104,28 +105,28 @@
   return false;
 }
 
-Log::Opened Log::open(const std::function<void(Sequence, std::string_view)>& record) {
-  Opened opened;
-  const auto fail = [&](LogProblem::What kind, std::string text) {
+Log::OpenResult Log::open(const std::function<void(Sequence, std::string_view)>& record) {
+  OpenResult opened;
+  const auto fail = [&](LogProblem::Kind kind, std::string text) {
     failed_ = true;
     opened.problem = LogProblem{kind, std::move(text)};
     return opened;
   };
   std::vector<std::string> names;
   if (const auto e = files_.list(names))
-    return fail(LogProblem::What::io, "the folder can't be read: " + e.message());
+    return fail(LogProblem::Kind::io, "the folder can't be read: " + e.message());
   std::sort(names.begin(), names.end());
   for (const auto& name : names) {
-    if (name.rfind(kSparePrefix, 0) == 0) spare_.push_back(name);
+    if (name.rfind(kSparePrefix, 0) == 0) spare_names_.push_back(name);
     if (name == kNewSegmentName && !settings_.read_only)
       files_.remove(name);  // left by an unfinished begin_segment()
-    if (const auto first = first_of(name)) segments_.push_back({name, *first});
+    if (const auto first = parse_segment_name(name)) segments_.push_back({name, *first});
   }
-  spare_number_ = spare_.size();
-  for (const auto& s : spare_) {
+  next_spare_number_ = spare_names_.size();
+  for (const auto& s : spare_names_) {
     unsigned long long n = 0;
     if (sscanf(s.c_str() + sizeof kSparePrefix - 1, "%llu", &n) == 1)
-      spare_number_ = std::max<std::uint64_t>(spare_number_, n + 1);
+      next_spare_number_ = std::max<std::uint64_t>(next_spare_number_, n + 1);
   }
   std::string bytes;
   bool known = false;  // id_ and next_ have been read from the first segment
@@ -134,28 +135,28 @@
     const auto where = [&](std::size_t at) { return segment.name + " at " + std::to_string(at) + ": "; };
     std::unique_ptr<File> file;
     std::uint64_t size = 0;
-    if (const auto e = files_.open(segment.name, Files::Open::existing, file))
-      return fail(LogProblem::What::io, segment.name + ": " + e.message());
-    if (const auto e = file->size(size)) return fail(LogProblem::What::io, segment.name + ": " + e.message());
+    if (const auto e = files_.open(segment.name, Files::OpenMode::existing, file))
+      return fail(LogProblem::Kind::io, segment.name + ": " + e.message());
+    if (const auto e = file->size(size)) return fail(LogProblem::Kind::io, segment.name + ": " + e.message());
     if (const auto e = file->read(0, size, bytes))
-      return fail(LogProblem::What::io, segment.name + ": " + e.message());
+      return fail(LogProblem::Kind::io, segment.name + ": " + e.message());
     const std::string_view view(bytes);
-    if (view.size() < kSegmentHead || std::memcmp(view.data(), kMagic, sizeof kMagic) != 0)
-      return fail(LogProblem::What::not_a_log, where(0) + "not a log segment");
-    if (get<std::uint32_t>(view, 16) > kVersion)
-      return fail(LogProblem::What::newer, where(16) + "of version " +
-                                               std::to_string(get<std::uint32_t>(view, 16)) +
-                                               ", this program knows " + std::to_string(kVersion));
+    if (view.size() < kSegmentHeaderSize || std::memcmp(view.data(), kMagic, sizeof kMagic) != 0)
+      return fail(LogProblem::Kind::not_a_log, where(0) + "not a log segment");
+    if (get<std::uint32_t>(view, 16) > kFormatVersion)
+      return fail(LogProblem::Kind::newer_version,
+                  where(16) + "of version " + std::to_string(get<std::uint32_t>(view, 16)) +
+                      ", this program knows " + std::to_string(kFormatVersion));
     const auto id = get<std::uint64_t>(view, 24);
-    if (view.substr(0, kSegmentHead) != make_segment_header(id, segment.first) || (known && id != id_))
-      return fail(LogProblem::What::corrupt, where(0) + "its header is damaged or belongs to another log");
+    if (view.substr(0, kSegmentHeaderSize) != make_segment_header(id, segment.first) || (known && id != id_))
+      return fail(LogProblem::Kind::corrupt, where(0) + "its header is damaged or belongs to another log");
     id_ = id;
     if (!known) opened.first = next_ = segment.first;
     known = true;
     if (segment.first != next_)
-      return fail(LogProblem::What::corrupt,
+      return fail(LogProblem::Kind::corrupt,
                   segment.name + ": record " + std::to_string(next_) + " is missing before it");
-    std::size_t at = kSegmentHead;
+    std::size_t at = kSegmentHeaderSize;
     for (;;) {
       const auto r = read_at(view, at, id_);
       if (!r.found || r.sequence != next_) break;
@@ -165,50 +166,50 @@
     const bool last = i + 1 == segments_.size();
     // A segment is begun only once all records before it are durable, so a gap before it is corruption.
     if (!last && segments_[i + 1].first != next_)
-      return fail(LogProblem::What::corrupt,
+      return fail(LogProblem::Kind::corrupt,
                   where(at) + "record " + std::to_string(next_) + " can't be read");
     if (!last) continue;
-    if (proves_loss(view, at, next_))
-      return fail(LogProblem::What::corrupt,
+    if (proves_corruption(view, at, next_))
+      return fail(LogProblem::Kind::corrupt,
                   where(at) + "record " + std::to_string(next_) + " can't be read, and had been durable");
     // The remains of an unfinished commit are overwritten with zeros, so that they can't be read as records
     // later.
     const auto torn = view.substr(at).find_last_not_of('\0');
-    file_ = std::move(file), at_ = at;
+    file_ = std::move(file), write_offset_ = at;
     if (torn != std::string_view::npos) {
-      opened.torn = torn + 1;
+      opened.torn_bytes = torn + 1;
       if (settings_.read_only) break;
-      tail_ = torn + 1;
-      if (const auto e = cut_tail(); e && settings_.sync)
-        return fail(LogProblem::What::io, where(at) + "cannot clear the torn tail: " + e.message());
+      torn_tail_size_ = torn + 1;
+      if (const auto e = clear_torn_tail(); e && settings_.sync)
+        return fail(LogProblem::Kind::io, where(at) + "cannot clear the torn tail: " + e.message());
     }
     if (settings_.read_only) break;
     // Needed even without a torn tail: the records read may never have been synced.
     if (settings_.sync)
-      if (const auto e = file_->sync()) return fail(LogProblem::What::io, segment.name + ": " + e.message());
+      if (const auto e = file_->sync()) return fail(LogProblem::Kind::io, segment.name + ": " + e.message());
   }
   opened.next = next_;
   durable_ = written_ = next_ - 1;
   if (settings_.read_only) return failed_ = true, opened;
   if (segments_.empty()) {
-    at_ = settings_.segment;  // as if a segment were full: commit() begins the first one
+    write_offset_ = settings_.segment_size;  // as if a segment were full: commit() begins the first one
     if (const auto e = begin_segment(); e && settings_.sync)
-      return fail(LogProblem::What::io, "cannot create a segment: " + e.message());
+      return fail(LogProblem::Kind::io, "cannot create a segment: " + e.message());
   }
   return opened;
 }
 
-void Log::go_on_behind(std::uint64_t id, Sequence next) {
+void Log::continue_after_damage(std::uint64_t id, Sequence next) {
   id_ = id, next_ = next;
   written_ = durable_ = next - 1;
-  file_.reset(), at_ = settings_.segment, tail_ = 0;
+  file_.reset(), write_offset_ = settings_.segment_size, torn_tail_size_ = 0;
   failed_ = unsynced_ = false;
   pending_.clear(), pending_sizes_.clear();
 }
 
-std::error_code Log::cut_tail() {
-  if (const auto e = write_all(*file_, at_, std::string(tail_, '\0'))) return e;
-  tail_ = 0;
+std::error_code Log::clear_torn_tail() {
+  if (const auto e = write_all(*file_, write_offset_, std::string(torn_tail_size_, '\0'))) return e;
+  torn_tail_size_ = 0;
   return {};
 }
 
@@ -228,51 +229,52 @@
   std::unique_ptr<File> file;
   files_.remove(kNewSegmentName);
   std::error_code error;
-  if (!spare_.empty()) {
-    error = files_.rename(spare_.back(), kNewSegmentName);
+  if (!spare_names_.empty()) {
+    error = files_.rename(spare_names_.back(), kNewSegmentName);
     if (error) return error;
-    spare_.pop_back();
-    error = files_.open(kNewSegmentName, Files::Open::existing, file);
+    spare_names_.pop_back();
+    error = files_.open(kNewSegmentName, Files::OpenMode::existing, file);
   } else {
-    error = files_.open(kNewSegmentName, Files::Open::create, file);
-    if (!error) error = file->allocate(settings_.segment);
+    error = files_.open(kNewSegmentName, Files::OpenMode::create, file);
+    if (!error) error = file->allocate(settings_.segment_size);
   }
-  const auto head = make_segment_header(id_, next_written());
+  const auto head = make_segment_header(id_, next_to_write());
   if (!error) error = write_all(*file, 0, head);
   if (!error && settings_.sync) error = file->sync();
-  const auto name = name_of(next_written());
+  const auto name = segment_name(next_to_write());
   if (!error) error = files_.rename(kNewSegmentName, name);
   if (!error && settings_.sync) error = files_.sync_folder();
   if (error) return error;
-  file_ = std::move(file), at_ = kSegmentHead;
-  segments_.push_back({name, next_written()});
+  file_ = std::move(file), write_offset_ = kSegmentHeaderSize;
+  segments_.push_back({name, next_to_write()});
   return {};
 }
 
-std::error_code Log::reserve() {
-  if (!spare_.empty() || segments_.size() >= settings_.segments_max) return {};
-  const auto name = kSparePrefix + std::to_string(spare_number_++);
+std::error_code Log::reserve_segment() {
+  if (!spare_names_.empty() || segments_.size() >= settings_.segments_max) return {};
+  const auto name = kSparePrefix + std::to_string(next_spare_number_++);
   std::unique_ptr<File> file;
-  auto error = files_.open(name, Files::Open::create, file);
-  if (!error) error = file->allocate(settings_.segment);
+  auto error = files_.open(name, Files::OpenMode::create, file);
+  if (!error) error = file->allocate(settings_.segment_size);
   if (error) {
     files_.remove(name);
     return error;
   }
-  spare_.push_back(name);
+  spare_names_.push_back(name);
   return {};
 }
 
-Log::Appended Log::append(std::string_view bytes) {
-  if (failed_) return Appended::failed;
-  if (bytes.empty() || bytes.size() > settings_.record_max ||
-      bytes.size() + kHead + kSegmentHead > settings_.segment)
-    return Appended::too_large;
+Log::AppendResult Log::append(std::string_view bytes) {
+  if (failed_) return AppendResult::failed;
+  if (bytes.empty() || bytes.size() > settings_.record_size_max ||
+      bytes.size() + kRecordHeaderSize + kSegmentHeaderSize > settings_.segment_size)
+    return AppendResult::too_large;
   // Pending records count too, so that a commit never lacks a segment.
-  const std::uint64_t left =
-      segments_.size() >= settings_.segments_max ? settings_.segment - at_ : settings_.segment;
-  if (segments_.size() >= settings_.segments_max && pending_.size() + kHead + bytes.size() > left)
-    return Appended::no_room;
+  const std::uint64_t left = segments_.size() >= settings_.segments_max
+                                 ? settings_.segment_size - write_offset_
+                                 : settings_.segment_size;
+  if (segments_.size() >= settings_.segments_max && pending_.size() + kRecordHeaderSize + bytes.size() > left)
+    return AppendResult::no_space;
   std::string head;
   put(head, static_cast<std::uint32_t>(bytes.size())), put(head, std::uint32_t{0});
   put(head, next_), put(head, durable_);
@@ -280,17 +282,17 @@
   pending_ += head, pending_ += bytes;
   pending_sizes_.push_back(head.size() + bytes.size());
   next_++;
-  return Appended::yes;
+  return AppendResult::appended;
 }
 
 std::error_code Log::commit() {
   if (failed_) return std::make_error_code(std::errc::io_error);
-  if (tail_ > 0)
-    if (const auto e = cut_tail()) return e;
+  if (torn_tail_size_ > 0)
+    if (const auto e = clear_torn_tail()) return e;
   while (!pending_sizes_.empty()) {
     // Writes as many records as fit into the segment at once.
     std::size_t size = 0, n = 0;
-    while (n < pending_sizes_.size() && at_ + size + pending_sizes_[n] <= settings_.segment)
+    while (n < pending_sizes_.size() && write_offset_ + size + pending_sizes_[n] <= settings_.segment_size)
       size += pending_sizes_[n++];
     if (n == 0) {
       if (segments_.size() >= settings_.segments_max)
@@ -304,13 +306,13 @@
       if (const auto e = begin_segment()) return e;
       continue;
     }
-    if (const auto e = write_all(*file_, at_, std::string_view(pending_).substr(0, size))) {
+    if (const auto e = write_all(*file_, write_offset_, std::string_view(pending_).substr(0, size))) {
       // Space on the device may become free again, and the same bytes are then written to the same place.
       // After any other error a log that promises durability can't be trusted any more.
       if (settings_.sync && e != std::errc::no_space_on_device) failed_ = true;
       return e;
     }
-    at_ += size, written_ += n, unsynced_ = true;
+    write_offset_ += size, written_ += n, unsynced_ = true;
     pending_.erase(0, size);
     pending_sizes_.erase(pending_sizes_.begin(), pending_sizes_.begin() + static_cast<std::ptrdiff_t>(n));
   }
@@ -327,10 +329,10 @@
   while (segments_.size() > 1 && segments_[1].first <= upto + 1) {
     const auto& name = segments_.front().name;
     std::error_code error;
-    if (spare_.size() < settings_.spare_max) {
-      const auto spare = kSparePrefix + std::to_string(spare_number_++);
+    if (spare_names_.size() < settings_.spares_max) {
+      const auto spare = kSparePrefix + std::to_string(next_spare_number_++);
       error = files_.rename(name, spare);
-      if (!error) spare_.push_back(spare);
+      if (!error) spare_names_.push_back(spare);
     } else {
       error = files_.remove(name);
     }
--- a/src/store/log.hpp
+++ b/src/store/log.hpp
@@ -24,11 +24,11 @@
 using Sequence = std::uint64_t;  // record number, from 1
 
 struct LogSettings {
-  std::uint64_t segment = 16 * 1024 * 1024;  // bytes, allocated when a segment is created
-  std::size_t record_max = 1024 * 1024;      // bytes of one record
-  std::size_t segments_max = 64;             // when all are full, nothing is appended until some are released
-  std::size_t spare_max = 4;                 // released segments kept for reuse
-  bool read_only = false;                    // open() changes nothing, and append() fails
+  std::uint64_t segment_size = 16 * 1024 * 1024;  // bytes, allocated when a segment is created
+  std::size_t record_size_max = 1024 * 1024;      // bytes of one record
+  std::size_t segments_max = 64;  // when all are full, nothing is appended until some are released
+  std::size_t spares_max = 4;     // released segments kept for reuse
+  bool read_only = false;         // open() changes nothing, and append() fails
   // False: the operating system writes back when it likes, and a crash of the machine may lose records.
   // Nothing is known to be on the disk then, so every failed write may be tried again, also the first ones of
   // an opened log.
@@ -37,30 +37,30 @@
 
 // Why a log can't be opened, or what was wrong with it.
 struct LogProblem {
-  enum class What {
-    io,        // error of the operating system
-    corrupt,   // a record that had been durable can't be read
-    newer,     // written by a later version
-    not_a_log  // a file with a segment's name is something else
-  } what = What::io;
+  enum class Kind {
+    io,             // error of the operating system
+    corrupt,        // a record that had been durable can't be read
+    newer_version,  // written by a later version
+    not_a_log       // a file with a segment's name is something else
+  } kind = Kind::io;
   std::string text;  // names the segment, and the offset where it is known
 };
 
 class Log {
  public:
-  struct Opened {
+  struct OpenResult {
     Sequence first = 1, next = 1;       // records first to next - 1 are there
-    std::uint64_t torn = 0;             // bytes of a torn tail that were cleared
+    std::uint64_t torn_bytes = 0;       // bytes of a torn tail that were cleared
     std::optional<LogProblem> problem;  // if set, the log can't be appended to
   };
   // `id` identifies a new log; an existing one keeps its own.
   Log(Files& files, const LogSettings& settings, std::uint64_t id);
   // Reads every record in order. To be called once, first.
-  Opened open(const std::function<void(Sequence, std::string_view)>& record);
+  OpenResult open(const std::function<void(Sequence, std::string_view)>& record);
 
-  enum class Appended { yes, too_large, no_room, failed };
+  enum class AppendResult { appended, too_large, no_space, failed };
   // Appends in memory; durable after the next successful commit().
-  Appended append(std::string_view bytes);
+  AppendResult append(std::string_view bytes);
   // Writes and syncs what was appended. After an error that leaves the log usable (no space on the device;
   // without syncing, any error) it may be called again. After a failed sync it is unknown what is on the
   // disk, and the log has failed for good.
@@ -68,11 +68,11 @@
 
   // Continues after a log that open() found damaged, in a new segment, with this id and from this number. The
   // existing segments stay until release(). `next` must be greater than every number that they may contain.
-  void go_on_behind(std::uint64_t id, Sequence next);
+  void continue_after_damage(std::uint64_t id, Sequence next);
 
   // Allocates the next segment in advance, so that records that must still be written have space on a full
   // device.
-  std::error_code reserve();
+  std::error_code reserve_segment();
 
   // Records up to this one are no longer needed. Segments with only such records are reused or removed.
   std::error_code release(Sequence upto);
@@ -86,52 +86,54 @@
   std::size_t pending() const { return pending_.size(); }  // bytes appended but not written
 
   // The on-disk format, for code that reads a log in other ways: see inspect.hpp.
-  struct Read {
+  struct ReadRecord {
     bool found = false;
     Sequence sequence = 0, durable = 0;
     std::string_view bytes;
     std::size_t size = 0;  // bytes including the header
   };
   // The record at this offset, if there is one that belongs to the log with this id.
-  static Read read_at(std::string_view segment, std::size_t at, std::uint64_t id);
-  struct SegmentHead {
+  static ReadRecord read_at(std::string_view segment, std::size_t at, std::uint64_t id);
+  struct SegmentHeader {
     std::uint32_t version = 0;
     std::uint64_t id = 0;
     Sequence first = 1;
   };
   // The segment's header; nothing if it is damaged or missing. For a later version only `version` is
   // reliable.
-  static std::optional<SegmentHead> head_of(std::string_view segment);
-  static std::optional<Sequence> first_of(const std::string& name);  // nothing if it isn't a segment's name
-  std::size_t spares() const { return spare_.size(); }
+  static std::optional<SegmentHeader> parse_segment_header(std::string_view segment);
+  static std::optional<Sequence> parse_segment_name(
+      const std::string& name);  // nothing if it isn't a segment's name
+  std::size_t spares() const { return spare_names_.size(); }
 
-  static constexpr std::size_t kHead = 32, kSegmentHead = 64;  // bytes of a record's and a segment's header
-  static constexpr std::uint32_t kVersion = 1;                 // of the format
+  static constexpr std::size_t kRecordHeaderSize = 32,
+                               kSegmentHeaderSize = 64;  // bytes of a record's and a segment's header
+  static constexpr std::uint32_t kFormatVersion = 1;     // of the format
 
  private:
   struct Segment {
     std::string name;
     Sequence first = 1;  // number of its first record
   };
-  bool proves_loss(std::string_view segment, std::size_t from, Sequence broken) const;
+  bool proves_corruption(std::string_view segment, std::size_t from, Sequence broken) const;
   // Makes a new segment, from a spare one if there is one, and goes on in it.
   std::error_code begin_segment();
   // Overwrites the torn tail with zeros.
-  std::error_code cut_tail();
+  std::error_code clear_torn_tail();
   static std::error_code write_all(File& file, std::uint64_t at, std::string_view bytes);
-  std::string name_of(Sequence first) const;
-  Sequence next_written() const { return written_ + 1; }
+  std::string segment_name(Sequence first) const;
+  Sequence next_to_write() const { return written_ + 1; }
 
   Files& files_;
   const LogSettings settings_;
   std::uint64_t id_;
   std::deque<Segment> segments_;
-  std::vector<std::string> spare_;  // names of segments that can be reused
-  std::uint64_t spare_number_ = 0;  // for the name of the next one
-  std::unique_ptr<File> file_;      // of the last segment
-  std::uint64_t at_ = 0;            // offset of the next record in it
-  std::size_t tail_ = 0;            // bytes of an unfinished commit after `at_` that are to be cleared
-  std::string pending_;             // records with their headers, not written yet
+  std::vector<std::string> spare_names_;  // names of segments that can be reused
+  std::uint64_t next_spare_number_ = 0;   // for the name of the next one
+  std::unique_ptr<File> file_;            // of the last segment
+  std::uint64_t write_offset_ = 0;        // offset of the next record in it
+  std::size_t torn_tail_size_ = 0;        // bytes of an unfinished commit after `at_` that are to be cleared
+  std::string pending_;                   // records with their headers, not written yet
   std::deque<std::size_t> pending_sizes_;
   Sequence next_ = 1, written_ = 0, durable_ = 0;
   bool failed_ = false, unsynced_ = false;
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -33,7 +33,7 @@
   if (thread_.joinable()) thread_.join();
 }
 
-Log::Opened Writer::open(const std::function<void(Sequence, std::string_view)>& record) {
+Log::OpenResult Writer::open(const std::function<void(Sequence, std::string_view)>& record) {
   auto opened = log_.open(record);
   if (opened.problem) {
     set_state(State::failed, opened.problem->text);
@@ -45,8 +45,8 @@
 }
 
 Sequence Writer::append(std::string bytes) {
-  if (state_ == State::failed || bytes.empty() || bytes.size() > settings_.log.record_max ||
-      bytes.size() + Log::kHead + Log::kSegmentHead > settings_.log.segment)
+  if (state_ == State::failed || bytes.empty() || bytes.size() > settings_.log.record_size_max ||
+      bytes.size() + Log::kRecordHeaderSize + Log::kSegmentHeaderSize > settings_.log.segment_size)
     return 0;
   bool notify = false;
   {
@@ -62,7 +62,7 @@
 
 void Writer::release(Sequence upto) {
   const std::lock_guard lock(mutex_);
-  release_to_ = std::max(release_to_, upto);
+  pending_release_ = std::max(pending_release_, upto);
   wake_.notify_one();
 }
 
@@ -73,15 +73,15 @@
 
 // Queued bytes count at once, so that a burst can't fill the limit before the thread has processed it.
 bool Writer::nearly_full(std::size_t segments, std::size_t queued) const {
-  return segments + queued / settings_.log.segment >=
+  return segments + queued / settings_.log.segment_size >=
          std::max<std::size_t>(settings_.log.segments_max / 2, 2);
 }
 
-bool Writer::room() const {
-  if (state_ != State::well) return false;
+bool Writer::has_room() const {
+  if (state_ != State::healthy) return false;
   const std::lock_guard lock(mutex_);
-  const std::size_t queued = queue_bytes_ + in_hand_;
-  return queued < settings_.queue_max && !nearly_full(segments_, queued);
+  const std::size_t queued = queue_bytes_ + committing_bytes_;
+  return queued < settings_.queue_bytes_max && !nearly_full(segments_, queued);
 }
 
 void Writer::set_state(State state, const std::string& why) {
@@ -89,22 +89,22 @@
     const std::lock_guard lock(mutex_);
     problem_ = why;
   }
-  if (state_.exchange(state) != state) tell();
+  if (state_.exchange(state) != state) post_notification();
 }
 
-void Writer::tell() {
+void Writer::post_notification() {
   {
     const std::lock_guard lock(mutex_);
-    if (told_) return;
-    told_ = true;
+    if (notification_posted_) return;
+    notification_posted_ = true;
   }
   ports_.post([this, alive = alive_] {
     if (!*alive) return;
     {
       const std::lock_guard lock(mutex_);
-      told_ = false;
+      notification_posted_ = false;
     }
-    ports_.changed();
+    ports_.on_change();
   });
 }
 
@@ -112,28 +112,28 @@
   std::unique_lock lock(mutex_);
   bool reserved = false;
   while (true) {
-    if (!reserved || state_ != State::well) {
+    if (!reserved || state_ != State::healthy) {
       // Repeated after each new segment, and while space is short.
       lock.unlock();
-      const auto error = log_.reserve();
+      const auto error = log_.reserve_segment();
       reserved = !error;
       const bool near_limit = nearly_full(log_.segments(), 0);
       if (error || near_limit)
-        set_state(State::full, error ? "no space for another segment: " + error.message()
-                                     : "half of the journal's segment limit is used");
-      else if (state_ != State::well)
-        set_state(State::well, {});
+        set_state(State::low_space, error ? "no space for another segment: " + error.message()
+                                          : "half of the journal's segment limit is used");
+      else if (state_ != State::healthy)
+        set_state(State::healthy, {});
       lock.lock();
     }
-    const auto ready = [&] { return stopping_ || !queue_.empty() || release_to_ >= log_.first(); };
-    if (state_ != State::well)
+    const auto ready = [&] { return stopping_ || !queue_.empty() || pending_release_ >= log_.first(); };
+    if (state_ != State::healthy)
       wake_.wait_for(lock, kRetryPause, ready);
     else
       wake_.wait(lock, ready);
     if (settings_.sync == WriterSettings::Sync::batched && !stopping_ && !queue_.empty())
       wake_.wait_for(lock, settings_.batch_time,
                      [&] { return stopping_ || queue_.size() >= settings_.batch_records; });
-    if (const Sequence upto = std::exchange(release_to_, 0); upto > 0) {
+    if (const Sequence upto = std::exchange(pending_release_, 0); upto > 0) {
       lock.unlock();
       // On an error the remaining segments are released with the next call.
       log_.release(upto);
@@ -146,10 +146,10 @@
     }
     std::vector<std::string> records;
     records.swap(queue_);
-    in_hand_ = std::exchange(queue_bytes_, 0);
+    committing_bytes_ = std::exchange(queue_bytes_, 0);
     const auto segments = log_.segments();
     if (!commit_all(records, lock)) return;
-    in_hand_ = 0;
+    committing_bytes_ = 0;
     if (log_.segments() != segments) reserved = false;
     segments_ = log_.segments();
   }
@@ -161,17 +161,17 @@
   const auto since = std::chrono::steady_clock::now();
   while (true) {
     lock.unlock();
-    auto appended = Log::Appended::yes;
+    auto appended = Log::AppendResult::appended;
     for (; done < records.size(); done++) {
       appended = log_.append(records[done]);
-      if (appended != Log::Appended::yes) break;
-      bytes_ += records[done].size() + Log::kHead;
+      if (appended != Log::AppendResult::appended) break;
+      bytes_ += records[done].size() + Log::kRecordHeaderSize;
     }
     const auto error = log_.commit();
     const Sequence durable = log_.durable();
     if (durable != durable_) {
       durable_ = durable, commits_++;
-      tell();
+      post_notification();
     }
     if (log_.failed()) {
       set_state(State::failed, "the journal can't be written any more: " + error.message());
@@ -183,13 +183,13 @@
       return true;
     }
     const bool stuck = std::chrono::steady_clock::now() - since > kStuckAfter;
-    set_state(stuck ? State::stuck : State::full, error
-                                                      ? "the journal can't be written now: " + error.message()
-                                                      : "the journal has reached its segment limit");
+    set_state(stuck ? State::blocked : State::low_space,
+              error ? "the journal can't be written now: " + error.message()
+                    : "the journal has reached its segment limit");
     lock.lock();
     // Space may come from a release or on the device.
-    wake_.wait_for(lock, kRetryPause, [&] { return stopping_ || release_to_ > 0; });
-    if (const Sequence upto = std::exchange(release_to_, 0); upto > 0) {
+    wake_.wait_for(lock, kRetryPause, [&] { return stopping_ || pending_release_ > 0; });
+    if (const Sequence upto = std::exchange(pending_release_, 0); upto > 0) {
       lock.unlock();
       log_.release(upto);
       lock.lock();
--- a/src/trace/file.cpp
+++ b/src/trace/file.cpp
@@ -10,20 +10,21 @@
 
 namespace cedarplank::trace {
 
-struct File::Errors {
+struct TraceFile::Errors {
   std::mutex mutex;
   std::uint64_t count = 0;
   std::string last;
 };
 
-File::File(const Options& options) : errors_(std::make_shared<Errors>()) {
+TraceFile::TraceFile(const Options& options) : errors_(std::make_shared<Errors>()) {
   try {
-    auto sink =
-        std::make_shared<spdlog::sinks::rotating_file_sink_st>(options.file, options.bytes, options.files);
-    pool_ = std::make_shared<spdlog::details::thread_pool>(options.queue, 1);
-    logger_ = std::make_shared<spdlog::async_logger>(
-        "trace", std::move(sink), pool_,
-        options.wait ? spdlog::async_overflow_policy::block : spdlog::async_overflow_policy::overrun_oldest);
+    auto sink = std::make_shared<spdlog::sinks::rotating_file_sink_st>(options.path, options.max_file_bytes,
+                                                                       options.kept_files);
+    thread_pool_ = std::make_shared<spdlog::details::thread_pool>(options.queue_capacity, 1);
+    logger_ = std::make_shared<spdlog::async_logger>("trace", std::move(sink), thread_pool_,
+                                                     options.block_when_full
+                                                         ? spdlog::async_overflow_policy::block
+                                                         : spdlog::async_overflow_policy::overrun_oldest);
   } catch (const spdlog::spdlog_ex& e) {
     throw std::runtime_error("trace: " + std::string(e.what()));
   }
@@ -36,25 +37,25 @@
   });
 }
 
-File::~File() {
+TraceFile::~TraceFile() {
   logger_->flush();
   logger_.reset();
-  pool_.reset();  // writes what is queued, then stops its thread
+  thread_pool_.reset();  // writes what is queued, then stops its thread
 }
 
-void File::write(const Story& story) {
+void TraceFile::write(const MessageTrace& story) {
   const std::string line = to_json(story);
   logger_->log(spdlog::level::info, spdlog::string_view_t(line.data(), line.size()));
 }
 
-void File::flush() { logger_->flush(); }
+void TraceFile::flush() { logger_->flush(); }
 
-std::uint64_t File::lost() const { return pool_->overrun_counter(); }
-std::uint64_t File::errors() const {
+std::uint64_t TraceFile::lost_traces() const { return thread_pool_->overrun_counter(); }
+std::uint64_t TraceFile::write_errors() const {
   const std::lock_guard lock(errors_->mutex);
   return errors_->count;
 }
-std::string File::last_error() const {
+std::string TraceFile::last_error() const {
   const std::lock_guard lock(errors_->mutex);
   return errors_->last;
 }
--- a/src/trace/json.cpp
+++ b/src/trace/json.cpp
@@ -94,13 +94,13 @@
   s.connection = static_cast<std::uint64_t>(m.number("connection"));
   s.stream = static_cast<std::uint32_t>(m.number("stream", 0, 0, 0xffff'ffff));
   s.span = m.number("span"), s.told_wait = m.number("told_wait");
-  s.endpoint = m.text("endpoint"), s.text = m.text("why");
+  s.endpoint = m.text("endpoint"), s.composed_reason = m.text("why");
   return s;
 }
 
 }  // namespace
 
-std::string to_json(const Story& s) {
+std::string to_json(const MessageTrace& s) {
   rapidjson::StringBuffer buffer;
   Writer w(buffer);
   w.StartObject();
@@ -108,41 +108,41 @@
   text(w, "class", s.message_class), text(w, "tenant", s.tenant);
   w.Key("verdict"), w.String(name_of(s.verdict));
   w.Key("wall"), w.Int64(s.wall);
-  w.Key("took"), w.Int64(s.over_at - s.taken);
+  w.Key("took"), w.Int64(s.ended_at - s.accepted_at);
   if (s.deadline > 0) {
-    w.Key("aim"), w.Int64(s.aim - s.taken);
-    w.Key("deadline"), w.Int64(s.deadline - s.taken);
+    w.Key("aim"), w.Int64(s.aim - s.accepted_at);
+    w.Key("deadline"), w.Int64(s.deadline - s.accepted_at);
   }
   w.Key("stands_for"), w.Uint64(s.stands_for);
   if (s.watched) w.Key("watched"), w.Bool(true);
   if (s.elided > 0) w.Key("elided"), w.Uint(s.elided);
   w.Key("steps"), w.StartArray();
-  for (const auto& step : s.steps) write(w, step, s.taken);
+  for (const auto& step : s.steps) write(w, step, s.accepted_at);
   w.EndArray();
   w.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-Story from_json(std::string_view line) {
+MessageTrace from_json(std::string_view line) {
   rapidjson::Document d;
   // Parsed iteratively: a line of a million brackets must not exhaust the stack.
   d.Parse<rapidjson::kParseIterativeFlag>(line.data(), line.size());
   if (d.HasParseError()) throw std::runtime_error("this is no JSON");
   const Members m(d, "a story");
-  Story s;
+  MessageTrace s;
   s.message = m.text("message"), s.key = m.text("key"), s.destination = m.text("destination");
   s.message_class = m.text("class"), s.tenant = m.text("tenant");
-  s.verdict = enumerator_of<Verdict>(m.text("verdict"), kVerdicts, "a story's 'verdict'");
+  s.verdict = enumerator_of<Verdict>(m.text("verdict"), kVerdictCount, "a story's 'verdict'");
   s.wall = m.number("wall");
-  s.taken = s.wall;  // the writer's monotonic clock has no meaning in this process
-  s.over_at = s.taken + m.number("took");
-  s.aim = s.taken + m.number("aim");
-  s.deadline = m.find("deadline") == nullptr ? 0 : s.taken + m.number("deadline");
+  s.accepted_at = s.wall;  // the writer's monotonic clock has no meaning in this process
+  s.ended_at = s.accepted_at + m.number("took");
+  s.aim = s.accepted_at + m.number("aim");
+  s.deadline = m.find("deadline") == nullptr ? 0 : s.accepted_at + m.number("deadline");
   s.stands_for = static_cast<std::uint64_t>(m.number("stands_for", 1, 1));
   s.watched = m.flag("watched"), s.elided = static_cast<std::uint32_t>(m.number("elided", 0, 0, 0xffff'ffff));
   const auto* steps = m.find("steps");
   if (steps == nullptr || !steps->IsArray()) throw std::runtime_error("a story: 'steps' is no list");
-  for (const auto& step : steps->GetArray()) s.steps.push_back(read_step(step, s.taken));
+  for (const auto& step : steps->GetArray()) s.steps.push_back(read_step(step, s.accepted_at));
   return s;
 }
 
--- a/src/trace/json.hpp
+++ b/src/trace/json.hpp
@@ -9,9 +9,9 @@
 
 namespace cedarplank::trace {
 
-std::string to_json(const Story& story);
+std::string to_json(const MessageTrace& story);
 // Throws std::runtime_error that says what is wrong. Unknown members are ignored, so that older programs can
 // read what newer ones write.
-Story from_json(std::string_view line);
+MessageTrace from_json(std::string_view line);
 
 }  // namespace cedarplank::trace
--- a/src/trace/report.cpp
+++ b/src/trace/report.cpp
@@ -67,8 +67,8 @@
 
 }  // namespace
 
-Read read_stories(const std::vector<std::string>& files, const std::function<void(Story&&)>& f) {
-  Read read;
+ReadResult read_traces(const std::vector<std::string>& files, const std::function<void(MessageTrace&&)>& f) {
+  ReadResult read;
   for (const auto& file : files) {
     std::ifstream in(file, std::ios::binary);
     if (!in) throw std::runtime_error(file + ": " + std::strerror(errno));
@@ -77,12 +77,12 @@
       const bool complete = !in.eof();  // else its line end has not been written
       if (line.empty()) continue;
       try {
-        Story s = from_json(line);
-        read.stories++;
+        MessageTrace s = from_json(line);
+        read.traces++;
         f(std::move(s));
       } catch (const std::runtime_error& e) {
         if (!complete) {
-          read.torn++;
+          read.incomplete_lines++;
           continue;
         }
         throw std::runtime_error(fmt::format("{}:{}: {}", file, number, e.what()));
@@ -92,16 +92,16 @@
   return read;
 }
 
-bool is_named(const Story& s, const std::string& name) {
+bool matches_name(const MessageTrace& s, const std::string& name) {
   return !name.empty() && (s.message == name || s.key == name);
 }
 
-void sort_by_time(std::vector<Story>& stories) {
+void sort_by_wall_time(std::vector<MessageTrace>& stories) {
   std::stable_sort(stories.begin(), stories.end(),
-                   [](const Story& a, const Story& b) { return a.wall < b.wall; });
+                   [](const MessageTrace& a, const MessageTrace& b) { return a.wall < b.wall; });
 }
 
-std::string tell(const Story& s) {
+std::string format_trace(const MessageTrace& s) {
   const auto when = fmt::gmtime(static_cast<std::time_t>(s.wall / 1'000'000));
   std::string out = fmt::format("{}  {:%Y-%m-%dT%H:%M:%S}.{:06}Z\n", s.message, when, s.wall % 1'000'000);
   out += fmt::format("  to {}, class {}", s.destination, s.message_class);
@@ -109,40 +109,40 @@
   if (!s.key.empty()) out += ", client's key " + s.key;
   out += '\n';
   if (s.deadline > 0)
-    out += fmt::format("  aim {}, deadline {}\n", format_time(s.aim - s.taken),
-                       format_time(s.deadline - s.taken));
+    out += fmt::format("  aim {}, deadline {}\n", format_time(s.aim - s.accepted_at),
+                       format_time(s.deadline - s.accepted_at));
   const std::size_t first = s.elided == 0 ? s.steps.size() : (s.steps.size() + 1) / 2;
   for (std::size_t i = 0; i < s.steps.size(); i++) {
     if (i == first) out += fmt::format("              ({} steps are left out)\n", s.elided);
     Step step = s.steps[i];
-    step.at -= s.taken;
+    step.at -= s.accepted_at;
     out += describe_step(step);
   }
-  const Parts p = parts_of(s);
+  const TimeBreakdown p = time_breakdown(s);
   out += fmt::format("  {} after {}: {} held, {} waiting for a connection, {} at endpoints{}\n",
-                     name_of(s.verdict), format_time(s.over_at - s.taken), format_time(p.held),
+                     name_of(s.verdict), format_time(s.ended_at - s.accepted_at), format_time(p.held),
                      format_time(p.connection), format_time(p.endpoint),
-                     p.rough ? " (roughly: steps are left out)" : "");
+                     p.approximate ? " (roughly: steps are left out)" : "");
   return out;
 }
 
-void Account::add(const Story& s) {
+void TraceSummary::add(const MessageTrace& s) {
   Row& row = rows_[{s.message_class, s.verdict}];
-  const Parts p = parts_of(s);
+  const TimeBreakdown p = time_breakdown(s);
   const auto weight = static_cast<double>(s.stands_for);
-  row.stories++, row.messages += s.stands_for;
+  row.traces++, row.messages += s.stands_for;
   for (const auto& step : s.steps) row.attempts += step.what == Step::What::send;
-  const auto add_value = [&](std::vector<Weighted>& to, Time t) {
+  const auto add_value = [&](std::vector<WeightedValue>& to, Time t) {
     to.push_back({static_cast<double>(t), weight});
   };
-  add_value(row.whole, s.over_at - s.taken), add_value(row.added, p.held + p.connection),
+  add_value(row.total, s.ended_at - s.accepted_at), add_value(row.added, p.held + p.connection),
       add_value(row.held, p.held);
   add_value(row.connection, p.connection), add_value(row.endpoint, p.endpoint);
 }
 
-double Account::quantile(std::vector<Weighted> values, double q) {
+double TraceSummary::quantile(std::vector<WeightedValue> values, double q) {
   std::sort(values.begin(), values.end(),
-            [](const Weighted& a, const Weighted& b) { return a.value < b.value; });
+            [](const WeightedValue& a, const WeightedValue& b) { return a.value < b.value; });
   double total = 0, seen = 0;
   for (const auto& v : values) total += v.weight;
   for (const auto& v : values)
@@ -150,19 +150,19 @@
   return 0;
 }
 
-std::string Account::table() const {
+std::string TraceSummary::format_table() const {
   std::string out = fmt::format("{:<14} {:<12} {:>9} {:>8} {:>9} {:>19} {:>19} {:>19} {:>19} {:>19}\n",
                                 "class", "verdict", "messages", "stories", "attempts", "time p50/p99",
                                 "added p50/p99", "held p50/p99", "connection p50/p99", "endpoint p50/p99");
   for (const auto& [key, row] : rows_) {
-    const auto median_and_p99 = [&](const std::vector<Weighted>& v) {
+    const auto median_and_p99 = [&](const std::vector<WeightedValue>& v) {
       return format_time(static_cast<Time>(quantile(v, 0.5))) + " / " +
              format_time(static_cast<Time>(quantile(v, 0.99)));
     };
     out += fmt::format("{:<14} {:<12} {:>9} {:>8} {:>9.2f} {:>19} {:>19} {:>19} {:>19} {:>19}\n", key.first,
-                       name_of(key.second), row.messages, row.stories,
-                       static_cast<double>(row.attempts) / static_cast<double>(row.stories),
-                       median_and_p99(row.whole), median_and_p99(row.added), median_and_p99(row.held),
+                       name_of(key.second), row.messages, row.traces,
+                       static_cast<double>(row.attempts) / static_cast<double>(row.traces),
+                       median_and_p99(row.total), median_and_p99(row.added), median_and_p99(row.held),
                        median_and_p99(row.connection), median_and_p99(row.endpoint));
   }
   return out;
--- a/src/trace/story.cpp
+++ b/src/trace/story.cpp
@@ -16,11 +16,11 @@
   return kNames[static_cast<std::size_t>(v)];
 }
 
-Parts parts_of(const Story& story) {
-  Parts parts;
-  parts.rough = story.elided > 0;
+TimeBreakdown time_breakdown(const MessageTrace& story) {
+  TimeBreakdown parts;
+  parts.approximate = story.elided > 0;
   std::map<int, bool> under_way;  // by attempt: whether it has been sent on a connection
-  Time last = story.taken;
+  Time last = story.accepted_at;
   const auto add_time = [&](Time until) {
     bool waiting = false, out = false;
     for (const auto& [attempt, left] : under_way) (left ? out : waiting) = true;
@@ -28,7 +28,7 @@
     last = until;
   };
   for (const auto& s : story.steps) {
-    if (s.at > story.over_at) break;
+    if (s.at > story.ended_at) break;
     add_time(s.at);
     if (s.what == Step::What::send)
       under_way[s.attempt] = false;
@@ -37,7 +37,7 @@
     else if (s.what == Step::What::ended)
       under_way.erase(s.attempt);
   }
-  add_time(std::max(last, story.over_at));
+  add_time(std::max(last, story.ended_at));
   return parts;
 }
 
--- a/src/trace/story.hpp
+++ b/src/trace/story.hpp
@@ -32,27 +32,28 @@
   std::uint32_t stream = 0;
   Time span =
       0;  // send: time-out; ended: time since it was sent; refuse, answered: when the client may retry
-  Time told_wait = 0;    // ended: the wait that the endpoint asked for
-  std::string endpoint;  // send, ended
-  std::string text;      // the reason, or an attempt's outcome, where it is composed at run time
-  const char* why = "";  // the same where it is a string literal; used if the composed text is empty
-  std::string reason() const { return text.empty() ? why : text; }
+  Time told_wait = 0;           // ended: the wait that the endpoint asked for
+  std::string endpoint;         // send, ended
+  std::string composed_reason;  // the reason, or an attempt's outcome, where it is composed at run time
+  const char* literal_reason =
+      "";  // the same where it is a string literal; used if the composed text is empty
+  std::string reason() const { return composed_reason.empty() ? literal_reason : composed_reason; }
 };
 const char* name_of(Step::What what);
 
 // The outcome of a message, which decides whether its trace is worth keeping; worst first.
 enum class Verdict : std::uint8_t { failed, refused, turned_away, withdrawn, late, retried, served };
-constexpr int kVerdicts = 7;
+constexpr int kVerdictCount = 7;
 const char* name_of(Verdict v);
 
 // The trace of one message.
-struct Story {
+struct MessageTrace {
   MessageId id = 0;
   std::string message;                             // its id at the relay
   std::string key;                                 // the client's Idempotency-Key, if any
   std::string destination, message_class, tenant;  // names; `tenant` is empty if there is none
-  Time taken = 0, aim = 0, deadline = 0;           // points in time; a deadline of 0: rejected at admission
-  Time over_at = 0;
+  Time accepted_at = 0, aim = 0, deadline = 0;     // points in time; a deadline of 0: rejected at admission
+  Time ended_at = 0;
   std::int64_t wall = 0;  // time of acceptance in microseconds since 1970, by the clock of the relay's host
   Verdict verdict = Verdict::served;
   bool watched = false;  // kept because its destination is watched
@@ -63,12 +64,12 @@
 };
 
 // How the time until a message's final answer was spent. The parts add up to that time.
-struct Parts {
-  Time held = 0;        // in the relay with no attempt under way
-  Time connection = 0;  // attempts were decided on, but all of them waited for a connection
-  Time endpoint = 0;    // at least one attempt had been sent
-  bool rough = false;   // some steps were left out, so the parts are approximate
+struct TimeBreakdown {
+  Time held = 0;             // in the relay with no attempt under way
+  Time connection = 0;       // attempts were decided on, but all of them waited for a connection
+  Time endpoint = 0;         // at least one attempt had been sent
+  bool approximate = false;  // some steps were left out, so the parts are approximate
 };
-Parts parts_of(const Story& story);
+TimeBreakdown time_breakdown(const MessageTrace& story);
 
 }  // namespace cedarplank::trace
--- a/standin/http2_wire.cpp
+++ b/standin/http2_wire.cpp
@@ -7,12 +7,12 @@
 namespace cedarplank::standin {
 namespace {
 
-class Http2ServerProtocol final : public Wire {
+class Http2ServerProtocol final : public ServerProtocol {
  public:
-  explicit Http2ServerProtocol(const WireSettings& settings)
+  explicit Http2ServerProtocol(const ProtocolSettings& settings)
       : endpoint_(settings.endpoint), h2_(http2::Role::server, local_settings(settings.streams)) {}
 
-  void receive(Time now, std::string_view bytes, std::vector<Arrived>& calls) override {
+  void receive(Time now, std::string_view bytes, std::vector<ReceivedCall>& calls) override {
     std::vector<http2::Event> events;
     h2_.receive(now, bytes, events);
     for (auto& e : events) {
@@ -32,8 +32,9 @@
       if (it == receiving_.end()) continue;
       const auto [headers, body] = std::move(it->second);
       receiving_.erase(it);
-      Arrived a;
-      a.stream = e.stream, a.message = record::message_in(body), a.message_class = record::class_in(body);
+      ReceivedCall a;
+      a.stream = e.stream, a.message = record::message_id_in(body),
+      a.message_class = record::message_class_in(body);
       a.key = http2::find_header(headers, "idempotency-key");
       if (http2::find_header(headers, ":method") != "POST")
         a.status = 405;
@@ -43,7 +44,7 @@
     }
   }
   bool failed() const override { return h2_.failed(); }
-  std::size_t open() const override { return h2_.streams(); }
+  std::size_t open() const override { return h2_.open_streams(); }
   void respond(std::uint32_t stream, int status, Time wait) override {
     http2::Headers headers = {{":status", std::to_string(status)}};
     if (status == 201)
@@ -73,6 +74,8 @@
 
 }  // namespace
 
-std::unique_ptr<Wire> http2_wire(const WireSettings& s) { return std::make_unique<Http2ServerProtocol>(s); }
+std::unique_ptr<ServerProtocol> make_http2_protocol(const ProtocolSettings& s) {
+  return std::make_unique<Http2ServerProtocol>(s);
+}
 
 }  // namespace cedarplank::standin
--- a/standin/server.cpp
+++ b/standin/server.cpp
@@ -19,8 +19,8 @@
   return *endpoints_.back();
 }
 
-void Destination::take_effect(Time now, const std::string& endpoint, const std::string& message,
-                              const std::string& key) {
+void Destination::report_effect(Time now, const std::string& endpoint, const std::string& message,
+                                const std::string& key) {
   effects_({now, endpoint, settings().name, message, key});
 }
 
@@ -42,27 +42,27 @@
 void Endpoint::begin(const FaultSettings& f) {
   destination_.partner().begin(settings_.id, loop_.now(), f);
   if (f.fault == Fault::down) listener_.reset();
-  if (f.fault == Fault::few_streams) tell_streams();
+  if (f.fault == Fault::few_streams) send_stream_limit();
   if (!ends_connections(f.fault)) return;
   std::vector<std::uint64_t> ids;
-  for (const auto& [id, p] : peers_) ids.push_back(id);
-  for (const auto id : ids) drop(id, true);
+  for (const auto& [id, p] : connections_) ids.push_back(id);
+  for (const auto id : ids) close_connection(id, true);
 }
 
 void Endpoint::end(Fault f) {
   destination_.partner().end(settings_.id, loop_.now(), f);
   if (f == Fault::down && !stopped_ && !listener_) listen();
-  if (f == Fault::few_streams) tell_streams();
+  if (f == Fault::few_streams) send_stream_limit();
   if (f != Fault::pause) return;
-  const auto received = std::move(held_);
-  held_.clear();
+  const auto received = std::move(paused_input_);
+  paused_input_.clear();
   for (const auto& [id, bytes] : received) read(id, bytes);
-  for (auto& [id, p] : peers_) flush(*p);
+  for (auto& [id, p] : connections_) flush(*p);
 }
 
-void Endpoint::tell_streams() {
-  for (auto& [id, p] : peers_) {
-    p->wire->limit(destination_.partner().streams(settings_.id));
+void Endpoint::send_stream_limit() {
+  for (auto& [id, p] : connections_) {
+    p->protocol->limit(destination_.partner().max_calls(settings_.id));
     flush(*p);
   }
 }
@@ -70,121 +70,124 @@
 void Endpoint::stop() {
   stopped_ = true;
   listener_.reset();
-  for (auto& [id, p] : peers_) {
-    p->wire->say_goodbye();
+  for (auto& [id, p] : connections_) {
+    p->protocol->say_goodbye();
     flush(*p);
   }
 }
 
 void Endpoint::accept(net::Fd fd) {
-  const auto decision = destination_.partner().door(settings_.id, loop_.now(), peers_.size());
-  if (decision == emulator::Partner::Door::turned_away) {
+  const auto decision =
+      destination_.partner().decide_connection(settings_.id, loop_.now(), connections_.size());
+  if (decision == emulator::Partner::ConnectionDecision::reset) {
     const linger reset{1, 0};
     setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
-    record::Record r;
-    r.at = loop_.now(), r.side = record::Record::Side::endpoint, r.place = settings_.id,
+    record::CaptureRecord r;
+    r.at = loop_.now(), r.side = record::CaptureRecord::Side::endpoint, r.place = settings_.id,
     r.what = "TURNED_AWAY";
     sink_(std::move(r));
     return;  // fd closes here
   }
-  const std::uint64_t id = next_peer_++;
-  auto owned = std::make_unique<Peer>();
-  Peer& p = *owned;
+  const std::uint64_t id = next_connection_++;
+  auto owned = std::make_unique<ClientConnection>();
+  ClientConnection& p = *owned;
   const bool smpp = destination_.settings().smpp;
-  const WireSettings protocol_settings{settings_.id, destination_.partner().streams(settings_.id),
-                                       &destination_.partner(), id};
-  p.wire = smpp ? smsc_wire(protocol_settings) : http2_wire(protocol_settings);
+  const ProtocolSettings protocol_settings{settings_.id, destination_.partner().max_calls(settings_.id),
+                                           &destination_.partner(), id};
+  p.protocol = smpp ? make_smsc_protocol(protocol_settings) : make_http2_protocol(protocol_settings);
   if (smpp)
-    p.tap = std::make_unique<record::SmppTap>(record::Record::Side::endpoint, settings_.id, id, sink_);
+    p.capture = std::make_unique<record::SmppWireCapture>(record::CaptureRecord::Side::endpoint, settings_.id,
+                                                          id, sink_);
   else
-    p.tap =
-        std::make_unique<record::Http2Tap>(record::Record::Side::endpoint, settings_.id, id, false, sink_);
+    p.capture = std::make_unique<record::Http2WireCapture>(record::CaptureRecord::Side::endpoint,
+                                                           settings_.id, id, false, sink_);
   p.id = id, p.last_used = loop_.now();
-  peers_[id] = std::move(owned);
-  p.tap->note(loop_.now(), "OPEN");
+  connections_[id] = std::move(owned);
+  p.capture->note(loop_.now(), "OPEN");
   p.stream = std::make_unique<net::TcpStream>(
       loop_, std::move(fd),
       net::Stream::Handlers{.connected = {},
                             .data = [this, id](std::string_view b) { receive(id, b); },
                             .drained = {},
-                            .closed = [this, id](const std::string&) { drop(id, false); }});
-  if (decision == emulator::Partner::Door::garbage) {
+                            .closed = [this, id](const std::string&) { close_connection(id, false); }});
+  if (decision == emulator::Partner::ConnectionDecision::garbage) {
     p.garbage = true;
-    p.stream->write(p.wire->garbage());
+    p.stream->write(p.protocol->garbage());
     p.stream->finish(100'000);
     return;
   }
-  const Time slow = destination_.partner().handshake(settings_.id);
+  const Time slow = destination_.partner().handshake_delay(settings_.id);
   if (slow <= 0) return flush(p);
   p.silent_until = loop_.now() + slow;
   loop_.after(slow, [this, alive = alive_, id] {
-    if (!*alive || peers_.count(id) == 0) return;
-    peers_.at(id)->silent_until = 0;
-    flush(*peers_.at(id));
+    if (!*alive || connections_.count(id) == 0) return;
+    connections_.at(id)->silent_until = 0;
+    flush(*connections_.at(id));
   });
 }
 
-void Endpoint::flush(Peer& p) {
-  if (p.dead || p.silent_until > loop_.now() || !destination_.partner().reads(settings_.id)) return;
-  const std::string bytes = p.wire->take_output();
+void Endpoint::flush(ClientConnection& p) {
+  if (p.dead || p.silent_until > loop_.now() || !destination_.partner().is_reading(settings_.id)) return;
+  const std::string bytes = p.protocol->take_output();
   if (bytes.empty()) return;
-  p.tap->pass(loop_.now(), true, bytes);
+  p.capture->pass(loop_.now(), true, bytes);
   p.stream->write(bytes);
 }
 
 void Endpoint::receive(std::uint64_t id, std::string_view bytes) {
-  const auto it = peers_.find(id);
-  if (it == peers_.end()) return;
+  const auto it = connections_.find(id);
+  if (it == connections_.end()) return;
   // Recorded on arrival even if it is read after a pause: the relay has sent it by now.
-  it->second->tap->pass(loop_.now(), false, bytes);
-  if (destination_.partner().reads(settings_.id))
+  it->second->capture->pass(loop_.now(), false, bytes);
+  if (destination_.partner().is_reading(settings_.id))
     read(id, bytes);
   else
-    held_.emplace_back(id, std::string(bytes));
+    paused_input_.emplace_back(id, std::string(bytes));
 }
 
 void Endpoint::read(std::uint64_t id, std::string_view bytes) {
-  const auto it = peers_.find(id);
-  if (it == peers_.end()) return;
-  Peer& p = *it->second;
-  if (destination_.partner().dead(settings_.id, loop_.now() - p.last_used)) p.dead = true;
+  const auto it = connections_.find(id);
+  if (it == connections_.end()) return;
+  ClientConnection& p = *it->second;
+  if (destination_.partner().is_dead(settings_.id, loop_.now() - p.last_used)) p.dead = true;
   p.last_used = loop_.now();
   if (p.dead || p.garbage) return;
-  std::vector<Arrived> calls;
-  p.wire->receive(loop_.now(), bytes, calls);
+  std::vector<ReceivedCall> calls;
+  p.protocol->receive(loop_.now(), bytes, calls);
   for (const auto& call : calls) {
     request(p, call);
-    if (peers_.count(id) == 0) return;  // a fault ended the connection
+    if (connections_.count(id) == 0) return;  // a fault ended the connection
   }
   flush(p);
-  if (p.wire->failed()) drop(id, !destination_.settings().smpp);
+  if (p.protocol->failed()) close_connection(id, !destination_.settings().smpp);
 }
 
-void Endpoint::request(Peer& p, const Arrived& call) {
+void Endpoint::request(ClientConnection& p, const ReceivedCall& call) {
   // Received in the same read as the call that triggered the GOAWAY.
-  if (p.went_away && call.stream > p.last_taken) {
-    if (destination_.settings().smpp) p.wire->go_away(call.stream);
+  if (p.goaway_sent && call.stream > p.last_accepted) {
+    if (destination_.settings().smpp) p.protocol->go_away(call.stream);
     return;
   }
   if (call.status != 0) return respond(p.id, call.stream, call.status, 0);
-  carry_out(p, call,
-            destination_.partner().call(settings_.id, loop_.now(),
-                                        {call.message, call.key, call.message_class, p.wire->open() <= 1}));
+  carry_out(
+      p, call,
+      destination_.partner().call(settings_.id, loop_.now(),
+                                  {call.message, call.key, call.message_class, p.protocol->open() <= 1}));
 }
 
-void Endpoint::carry_out(Peer& p, const Arrived& call, const emulator::Plan& plan) {
-  using Kind = emulator::Plan::Do;
-  if (plan.what == Kind::turn_back) return p.wire->turn_back(call.stream);
-  if (plan.what == Kind::go_away) {
+void Endpoint::carry_out(ClientConnection& p, const ReceivedCall& call, const emulator::CallPlan& plan) {
+  using Kind = emulator::CallPlan::Kind;
+  if (plan.kind == Kind::refuse) return p.protocol->turn_back(call.stream);
+  if (plan.kind == Kind::go_away) {
     // This call and all later ones are refused; earlier calls are finished.
-    p.went_away = true, p.last_taken = call.stream - 1;
-    return p.wire->go_away(call.stream);
+    p.goaway_sent = true, p.last_accepted = call.stream - 1;
+    return p.protocol->go_away(call.stream);
   }
   const auto finish = [this, id = p.id, call, plan] {
     // An accepted call takes effect whether or not its caller still waits.
-    if (plan.runs) destination_.take_effect(loop_.now(), settings_.id, call.message, call.key);
-    if (plan.what == Kind::lose) return drop(id, true);
-    if (plan.what == Kind::answer) respond(id, call.stream, plan.status, plan.wait);
+    if (plan.takes_effect) destination_.report_effect(loop_.now(), settings_.id, call.message, call.key);
+    if (plan.kind == Kind::drop_connection) return close_connection(id, true);
+    if (plan.kind == Kind::answer) respond(id, call.stream, plan.status, plan.wait);
   };
   if (plan.at <= loop_.now()) return finish();
   loop_.after(plan.at - loop_.now(), [alive = alive_, finish] {
@@ -193,19 +196,19 @@
 }
 
 void Endpoint::respond(std::uint64_t peer, std::uint32_t stream, int status, Time wait) {
-  const auto it = peers_.find(peer);
-  if (it == peers_.end()) return;
-  it->second->wire->respond(stream, status, wait);
+  const auto it = connections_.find(peer);
+  if (it == connections_.end()) return;
+  it->second->protocol->respond(stream, status, wait);
   flush(*it->second);
 }
 
-void Endpoint::drop(std::uint64_t id, bool abort) {
-  const auto it = peers_.find(id);
-  if (it == peers_.end()) return;
-  std::shared_ptr<Peer> p(std::move(it->second));
-  peers_.erase(it);
+void Endpoint::close_connection(std::uint64_t id, bool abort) {
+  const auto it = connections_.find(id);
+  if (it == connections_.end()) return;
+  std::shared_ptr<ClientConnection> p(std::move(it->second));
+  connections_.erase(it);
   p->stream->close(abort);
-  p->tap->note(loop_.now(), "CLOSE");
+  p->capture->note(loop_.now(), "CLOSE");
   loop_.defer([p] {});
 }
 
--- a/standin/server.hpp
+++ b/standin/server.hpp
@@ -17,13 +17,13 @@
 
 namespace cedarplank::standin {
 
+using emulator::CapacityModel;
+using emulator::CapacitySettings;
 using emulator::DestinationSettings;
 using emulator::Effect;
 using emulator::EndpointSettings;
 using emulator::Fault;
 using emulator::FaultSettings;
-using emulator::Place;
-using emulator::PlaceSettings;
 
 class Destination;
 
@@ -42,27 +42,27 @@
 
  private:
   // A connection by a client.
-  struct Peer {
+  struct ClientConnection {
     std::uint64_t id = 0;
     std::unique_ptr<net::Stream> stream;
-    std::unique_ptr<Wire> wire;
-    std::unique_ptr<record::Tap> tap;
+    std::unique_ptr<ServerProtocol> protocol;
+    std::unique_ptr<record::WireCapture> capture;
     Time last_used = 0;
     bool dead = false, garbage = false;  // struck by the faults dead_idle and garbage
     Time silent_until = 0;               // nothing is sent until then (handshake_slow)
-    bool went_away = false;              // a GOAWAY was sent
-    std::uint32_t last_taken = 0;        // last stream accepted before the GOAWAY
+    bool goaway_sent = false;            // a GOAWAY was sent
+    std::uint32_t last_accepted = 0;     // last stream accepted before the GOAWAY
   };
   void listen();
-  void tell_streams();
+  void send_stream_limit();
   void accept(net::Fd fd);
   void receive(std::uint64_t id, std::string_view bytes);
   void read(std::uint64_t id, std::string_view bytes);
-  void request(Peer& p, const Arrived& call);
-  void carry_out(Peer& p, const Arrived& call, const emulator::Plan& plan);
+  void request(ClientConnection& p, const ReceivedCall& call);
+  void carry_out(ClientConnection& p, const ReceivedCall& call, const emulator::CallPlan& plan);
   void respond(std::uint64_t peer, std::uint32_t stream, int status, Time wait);
-  void flush(Peer& p);
-  void drop(std::uint64_t id, bool abort);
+  void flush(ClientConnection& p);
+  void close_connection(std::uint64_t id, bool abort);
 
   loop::Loop& loop_;
   EndpointSettings settings_;
@@ -70,9 +70,10 @@
   record::Sink sink_;
   std::unique_ptr<net::Listener> listener_;
   std::string address_;
-  std::map<std::uint64_t, std::unique_ptr<Peer>> peers_;
-  std::vector<std::pair<std::uint64_t, std::string>> held_;  // by connection: bytes received during a pause
-  std::uint64_t next_peer_ = 1;
+  std::map<std::uint64_t, std::unique_ptr<ClientConnection>> connections_;
+  std::vector<std::pair<std::uint64_t, std::string>>
+      paused_input_;  // by connection: bytes received during a pause
+  std::uint64_t next_connection_ = 1;
   bool stopped_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
@@ -84,10 +85,11 @@
   Destination(loop::Loop& loop, const DestinationSettings& settings, record::Sink frames,
               std::function<void(const Effect&)> effects, std::uint64_t seed);
   Endpoint& add(const EndpointSettings& settings);
-  Place& place_of(const std::string& endpoint) { return partner_.place_of(endpoint); }
+  CapacityModel& capacity_of(const std::string& endpoint) { return partner_.capacity_of(endpoint); }
   emulator::Partner& partner() { return partner_; }
   // Reports that a message takes effect.
-  void take_effect(Time now, const std::string& endpoint, const std::string& message, const std::string& key);
+  void report_effect(Time now, const std::string& endpoint, const std::string& message,
+                     const std::string& key);
   const DestinationSettings& settings() const { return partner_.settings(); }
   std::vector<std::unique_ptr<Endpoint>>& endpoints() { return endpoints_; }
 
--- a/standin/settings.cpp
+++ b/standin/settings.cpp
@@ -40,12 +40,12 @@
          kDestinationsSchema + R"(, "faults": )" + kFaultsSchema + "}}";
 }
 
-std::vector<Listed> read_destinations(const config::Value& root) {
-  std::vector<Listed> all;
+std::vector<ListedDestination> read_destinations(const config::Value& root) {
+  std::vector<ListedDestination> all;
   std::vector<std::string> names;
   for (const auto& v : root.items("destinations")) {
-    Listed common;
-    PlaceSettings& p = common.settings.place;
+    ListedDestination common;
+    CapacitySettings& p = common.settings.capacity;
     common.kind = v.text("kind", "");
     common.weight = v.rate("weight", 1);
     common.settings.routes_apart = v.boolean("routes_apart", false);
@@ -69,7 +69,7 @@
       for (const auto& [name, times] : v.at("class_times").entries()) p.class_times[name] = times.number();
     const int count = v.integer("count", 1);
     for (int i = 1; i <= count; i++) {
-      Listed one = common;
+      ListedDestination one = common;
       const std::string base = v.at("name").text();
       one.settings.name = count == 1 ? base : base + "-" + std::to_string(i);
       if (std::find(names.begin(), names.end(), one.settings.name) != names.end())
@@ -109,7 +109,7 @@
   ScriptedFault f;
   f.at = v.at("at").duration();
   f.lasts = v.duration("for", 0);
-  f.settings.fault = v.word<Fault>("fault", emulator::fault_names(), Fault::silent);
+  f.settings.fault = v.enum_value<Fault>("fault", emulator::fault_names(), Fault::silent);
   f.settings.share = v.number("share", f.settings.share);
   f.settings.times = v.number("times", f.settings.times);
   f.settings.wait = v.duration("wait", f.settings.wait);
@@ -118,7 +118,8 @@
   return f;
 }
 
-std::vector<ScriptedFault> read_faults(const config::Value& root, const std::vector<Listed>& destinations) {
+std::vector<ScriptedFault> read_faults(const config::Value& root,
+                                       const std::vector<ListedDestination>& destinations) {
   std::vector<std::string> names;
   for (const auto& d : destinations) {
     names.push_back(d.settings.name);
@@ -126,7 +127,7 @@
   }
   std::vector<ScriptedFault> all;
   for (const auto& v : root.items("faults")) {
-    for (const auto& name : v.items("on")) name.position(names, "destination or endpoint");
+    for (const auto& name : v.items("on")) name.index_in(names, "destination or endpoint");
     all.push_back(read_fault(v));
   }
   return all;
@@ -156,7 +157,7 @@
   return found;
 }
 
-config::PartnerList partner_list(const std::vector<Listed>& listed, const config::Names& names,
+config::PartnerList partner_list(const std::vector<ListedDestination>& listed, const config::Names& names,
                                  std::int64_t version,
                                  const std::function<std::string(std::size_t, std::size_t)>& address) {
   const auto place = [](const std::vector<std::string>& all, const std::string& name) {
@@ -179,7 +180,7 @@
   return list;
 }
 
-config::PartnerList partner_list(const std::vector<Listed>& listed,
+config::PartnerList partner_list(const std::vector<ListedDestination>& listed,
                                  std::vector<std::unique_ptr<Destination>>& running,
                                  const config::Names& names, std::int64_t version) {
   return partner_list(listed, names, version,
--- a/standin/settings.hpp
+++ b/standin/settings.hpp
@@ -18,7 +18,7 @@
 };
 
 // A destination with its attributes in the partner list.
-struct Listed {
+struct ListedDestination {
   DestinationSettings settings;
   std::string kind;
   double weight = 1;
@@ -27,7 +27,7 @@
 
 struct StandinSettings {
   std::uint64_t seed = 1;
-  std::vector<Listed> destinations;
+  std::vector<ListedDestination> destinations;
   std::vector<ScriptedFault> faults;
   std::string effects_file, frames_file, partners_file;  // written if not empty
 };
@@ -38,8 +38,9 @@
 std::string standin_schema();
 
 // These throw config::ConfigError for invalid settings.
-std::vector<Listed> read_destinations(const config::Value& root);
-std::vector<ScriptedFault> read_faults(const config::Value& root, const std::vector<Listed>& destinations);
+std::vector<ListedDestination> read_destinations(const config::Value& root);
+std::vector<ScriptedFault> read_faults(const config::Value& root,
+                                       const std::vector<ListedDestination>& destinations);
 ScriptedFault read_fault(const config::Value& v);
 StandinSettings load_standin_settings(const std::string& file);
 
@@ -49,10 +50,10 @@
 
 // The partner list of these destinations. `address(destination, endpoint)` gives the address of an endpoint
 // by its indices; the second form takes it from the running stand-ins.
-config::PartnerList partner_list(const std::vector<Listed>& listed, const config::Names& names,
+config::PartnerList partner_list(const std::vector<ListedDestination>& listed, const config::Names& names,
                                  std::int64_t version,
                                  const std::function<std::string(std::size_t, std::size_t)>& address);
-config::PartnerList partner_list(const std::vector<Listed>& listed,
+config::PartnerList partner_list(const std::vector<ListedDestination>& listed,
                                  std::vector<std::unique_ptr<Destination>>& running,
                                  const config::Names& names, std::int64_t version);
 
--- a/standin/smsc_wire.cpp
+++ b/standin/smsc_wire.cpp
@@ -16,12 +16,12 @@
 using emulator::Fault;
 constexpr std::uint16_t kKey = 0x1401, kWait = 0x1403;  // vendor TLV tags, see docs/operate/smpp.md
 
-class SmscProtocol final : public Wire {
+class SmscProtocol final : public ServerProtocol {
  public:
-  explicit SmscProtocol(const WireSettings& s)
+  explicit SmscProtocol(const ProtocolSettings& s)
       : s_(s), max_open_(s.streams), random_(s.seed), session_(smpp::Role::smsc, settings(), 0) {}
 
-  void receive(Time now, std::string_view bytes, std::vector<Arrived>& calls) override {
+  void receive(Time now, std::string_view bytes, std::vector<ReceivedCall>& calls) override {
     now_ = now;
     std::vector<smpp::Event> events;
     session_.receive(now, bytes, events);
@@ -64,7 +64,7 @@
   static smpp::SessionSettings settings() {
     smpp::SessionSettings s;
     // The session never times out by itself.
-    s.session_init = smpp::kNever / 4, s.response = smpp::kNever / 4;
+    s.session_init = smpp::kNever / 4, s.response_timeout = smpp::kNever / 4;
     return s;
   }
   bool has_fault(Fault f) const {
@@ -77,21 +77,21 @@
            (fault->share >= 1 || static_cast<double>(random_(1000)) < fault->share * 1000);
   }
 
-  void request(smpp::Pdu& pdu, std::vector<Arrived>& calls) {
+  void request(smpp::Pdu& pdu, std::vector<ReceivedCall>& calls) {
     if (pdu.command != smpp::Command::submit_sm) return session_.respond(pdu, st::invalid_command);
     const auto& m = std::get<smpp::Message>(pdu.body);
     if (static_cast<int>(pending_.size()) >= max_open_) return session_.respond(pdu, st::throttled);
-    smpp::Taken parts;
-    Arrived a;
+    smpp::ParsedText parts;
+    ReceivedCall a;
     a.stream = pdu.sequence;
     try {
-      parts = smpp::taken_apart(m);
+      parts = smpp::parse_text(m);
     } catch (const std::invalid_argument&) {
       return session_.respond(pdu, st::invalid_esm_class);
     }
     if (m.validity.empty() || m.destination.digits.empty())
       return session_.respond(pdu, st::invalid_destination);
-    const auto* key = smpp::find(m.tlvs, kKey);
+    const auto* key = smpp::find_tlv(m.tlvs, kKey);
     if (key != nullptr) a.key = key->value;
     pending_[pdu.sequence] = pdu;
     std::string text = std::move(parts.text);
@@ -101,7 +101,7 @@
       if (!whole) return answer(pdu.sequence, st::ok, 0);
       text = std::move(*whole);
     }
-    a.message = record::message_in(text), a.message_class = record::class_in(text);
+    a.message = record::message_id_in(text), a.message_class = record::message_class_in(text);
     calls.push_back(std::move(a));
   }
 
@@ -126,7 +126,7 @@
     if (status == st::ok)
       body.message_id = s_.endpoint.substr(0, 40) + "-" + std::to_string(request.sequence);
     if (wait > 0)
-      body.tlvs.push_back(smpp::tlv(kWait, static_cast<std::uint32_t>((wait + 999'999) / 1'000'000), 4));
+      body.tlvs.push_back(smpp::make_tlv(kWait, static_cast<std::uint32_t>((wait + 999'999) / 1'000'000), 4));
     if (status == st::ok && applies(Fault::early_receipt)) send_receipt(request, body.message_id);
     if (applies(Fault::stray_receipt))
       send_receipt(request, "nobody-knows-" + std::to_string(request.sequence));
@@ -143,7 +143,7 @@
     r.esm_class = 4, r.source = m.destination, r.destination = m.source;
     r.text = "id:" + id +
              " sub:001 dlvrd:001 submit date:2601010000 done date:2601010000 stat:DELIVRD err:000 text:";
-    r.tlvs = {{smpp::tag::receipted_message_id, id + '\0'}, smpp::tlv(smpp::tag::message_state, 2, 1)};
+    r.tlvs = {{smpp::tag::receipted_message_id, id + '\0'}, smpp::make_tlv(smpp::tag::message_state, 2, 1)};
     session_.request(now_, smpp::Command::deliver_sm, std::move(r));
   }
 
@@ -152,19 +152,21 @@
     smpp::Status status;
     Time wait;
   };
-  WireSettings s_;
+  ProtocolSettings s_;
   int max_open_;
   pcg32 random_;
   smpp::Session session_;
   Time now_ = 0;
   std::map<std::uint32_t, smpp::Pdu> pending_;  // by sequence number: requests without a response
   std::optional<Delayed> delayed_;
-  smpp::Assembly assembly_;
+  smpp::MessageAssembler assembly_;
   std::string output_;  // bytes to send
 };
 
 }  // namespace
 
-std::unique_ptr<Wire> smsc_wire(const WireSettings& s) { return std::make_unique<SmscProtocol>(s); }
+std::unique_ptr<ServerProtocol> make_smsc_protocol(const ProtocolSettings& s) {
+  return std::make_unique<SmscProtocol>(s);
+}
 
 }  // namespace cedarplank::standin
--- a/standin/wire.hpp
+++ b/standin/wire.hpp
@@ -16,16 +16,16 @@
 using emulator::Time;
 
 // A call that has been received completely.
-struct Arrived {
+struct ReceivedCall {
   std::uint32_t stream = 0;
   std::string message, key, message_class;
   int status = 0;  // 0: the partner model decides; else the call is malformed and gets this status
 };
 
-class Wire {
+class ServerProtocol {
  public:
-  virtual ~Wire() = default;
-  virtual void receive(Time now, std::string_view bytes, std::vector<Arrived>& calls) = 0;
+  virtual ~ServerProtocol() = default;
+  virtual void receive(Time now, std::string_view bytes, std::vector<ReceivedCall>& calls) = 0;
   virtual bool failed() const = 0;       // the connection can't be used any more
   virtual std::size_t open() const = 0;  // calls without an answer
   virtual void respond(std::uint32_t stream, int status, Time wait) = 0;
@@ -38,14 +38,14 @@
   virtual std::string garbage() const = 0;  // bytes that are not of this protocol
 };
 
-struct WireSettings {
+struct ProtocolSettings {
   std::string endpoint;
   int streams = 100;
   // SMPP only: the partner whose faults apply, and the seed of the random choices.
   const emulator::Partner* partner = nullptr;
   std::uint64_t seed = 1;
 };
-std::unique_ptr<Wire> http2_wire(const WireSettings& settings);
-std::unique_ptr<Wire> smsc_wire(const WireSettings& settings);
+std::unique_ptr<ServerProtocol> make_http2_protocol(const ProtocolSettings& settings);
+std::unique_ptr<ServerProtocol> make_smsc_protocol(const ProtocolSettings& settings);
 
 }  // namespace cedarplank::standin
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -39,17 +39,17 @@
   std::string round(const std::vector<std::string>& lines) {
     clock_ += 5000;
     std::string reply;
-    EXPECT_FALSE(codec_.take(R"({"kind":"ROUND","Clock":)" + std::to_string(clock_) + "}", reply));
-    for (const auto& line : lines) EXPECT_FALSE(codec_.take(line, reply));
-    EXPECT_TRUE(codec_.take(R"({"kind":"YOUR_TURN"})", reply));
+    EXPECT_FALSE(codec_.process_line(R"({"kind":"ROUND","Clock":)" + std::to_string(clock_) + "}", reply));
+    for (const auto& line : lines) EXPECT_FALSE(codec_.process_line(line, reply));
+    EXPECT_TRUE(codec_.process_line(R"({"kind":"YOUR_TURN"})", reply));
     return reply;
   }
   // The error message for a malformed line; empty if it is accepted.
   std::string complaint(const std::string& line) {
     std::string reply;
-    codec_.take(R"({"kind":"ROUND","Clock":1})", reply);
+    codec_.process_line(R"({"kind":"ROUND","Clock":1})", reply);
     try {
-      codec_.take(line, reply);
+      codec_.process_line(line, reply);
     } catch (const WireError& e) {
       return e.what();
     }
--- a/tests/burst_test.cpp
+++ b/tests/burst_test.cpp
@@ -17,7 +17,7 @@
 struct Burst {
   Service s;
   rig::LoadSettings load;
-  std::vector<record::Record> records;  // frames at the client
+  std::vector<record::CaptureRecord> records;  // frames at the client
   std::unique_ptr<rig::LoadClient> client;
 
   explicit Burst(std::uint64_t seed) {
@@ -28,7 +28,7 @@
     load.seed = seed, load.retries = 0, load.rate = 0;
     s.settings.seed = seed;
   }
-  void add(int destinations, int endpoints, standin::PlaceSettings place = Service::quick()) {
+  void add(int destinations, int endpoints, standin::CapacitySettings place = Service::quick()) {
     for (int i = 1; i <= destinations; i++) {
       load.destinations.push_back("d" + std::to_string(i));
       s.add(load.destinations.back(), endpoints, place);
@@ -42,22 +42,23 @@
           return std::pair(std::size_t{0},
                            "/push/" + load.destinations[m.destination] + "/" + load.classes[m.cls].name);
         },
-        [this](record::Record&& r) { records.push_back(std::move(r)); });
+        [this](record::CaptureRecord&& r) { records.push_back(std::move(r)); });
     client->start();
   }
   // Checks the rules. The node must have been destroyed before, so that all frames are recorded.
-  rig::Verdict check_rules(const std::map<std::string, std::vector<std::pair<Time, Time>>>& outages = {}) {
-    rig::Facts input;
+  rig::CheckResult check_rules(
+      const std::map<std::string, std::vector<std::pair<Time, Time>>>& outages = {}) {
+    rig::CheckerInput input;
     for (const auto& c : load.classes)
       input.classes[c.name] = {.effect = c.effect, .deadline = c.deadline, .ordered = c.ordered};
     for (const auto& d : s.destinations) {
       const auto& name = d->settings().name;
-      for (const auto& e : d->endpoints()) input.place_of[e->id()] = name;
-      const auto& p = d->settings().place;
-      input.places[name].capacity = p.servers / (static_cast<double>(p.service) * 1e-6);
-      input.places[name].cold = p.cold, input.places[name].cold_from = p.cold_from;
-      input.places[name].fall_multiple = p.fall_multiple, input.places[name].overload_for = p.overload_for;
-      if (outages.count(name) > 0) input.places[name].outages = outages.at(name);
+      for (const auto& e : d->endpoints()) input.domain_of[e->id()] = name;
+      const auto& p = d->settings().capacity;
+      input.domains[name].capacity = p.servers / (static_cast<double>(p.service) * 1e-6);
+      input.domains[name].cold = p.cold, input.domains[name].cold_from = p.cold_from;
+      input.domains[name].fall_multiple = p.fall_multiple, input.domains[name].overload_for = p.overload_for;
+      if (outages.count(name) > 0) input.domains[name].outages = outages.at(name);
     }
     // Allows for sanitizers, which slow down everything in this process; the limits of the rules stay as they
     // are.
@@ -72,7 +73,7 @@
     for (const auto& t : client->tallies()) n += t.served + t.refused + t.failed;
     return n;
   }
-  std::uint64_t sum(std::uint64_t rig::LoadBook::Tally::*of) const {
+  std::uint64_t sum(std::uint64_t rig::LoadModel::Tally::*of) const {
     std::uint64_t n = 0;
     for (const auto& t : client->tallies()) n += t.*of;
     return n;
@@ -102,7 +103,7 @@
     std::size_t dropped = 0, effects_seen = 0;
     const auto endpoint = [&] { return "d" + std::to_string(1 + (seed + dropped) % 12) + "-1"; };
     bool dropping = false, rapid = false;
-    turn(
+    run_until(
         b.s.loop,
         [&] {
           const auto n = b.client->answered();
@@ -126,16 +127,16 @@
           return b.client->done();
         },
         200 * kS);
-    EXPECT_EQ(b.finals() + b.sum(&rig::LoadBook::Tally::reset), 10'000u);
-    EXPECT_EQ(b.sum(&rig::LoadBook::Tally::bad) + b.sum(&rig::LoadBook::Tally::lost), 0u);
-    EXPECT_EQ(b.client->doubled(), 0u);
+    EXPECT_EQ(b.finals() + b.sum(&rig::LoadModel::Tally::reset), 10'000u);
+    EXPECT_EQ(b.sum(&rig::LoadModel::Tally::unexpected) + b.sum(&rig::LoadModel::Tally::lost), 0u);
+    EXPECT_EQ(b.client->duplicate_answers(), 0u);
     EXPECT_EQ(dropped, 5u);
     EXPECT_EQ(other.answers.size(), 0u);
     EXPECT_EQ(other.closed, seed % 2 == 1) << "only floods of resets cost a client its connection";
-    turn(b.s.loop, [&] { return b.s.node->core().held() == 0 && b.s.node->core().slots_used() == 0; });
+    run_until(b.s.loop, [&] { return b.s.node->core().held() == 0 && b.s.node->core().slots_used() == 0; });
     b.s.node.reset();
     const auto check = b.check_rules();
-    EXPECT_TRUE(check.kept()) << rig::table_of(check);
+    EXPECT_TRUE(check.passed()) << rig::format_check_result(check);
     EXPECT_GT(check.rules[0].checked, 9'900u);
     EXPECT_GT(check.rules[1].checked, 3'000u);
     EXPECT_GT(check.rules[4].checked, 100u);
@@ -152,13 +153,13 @@
   b.add(4, 1, place);
   b.load.count = 2'000, b.load.outstanding = 120, b.load.rate = 400;
   b.start();
-  turn(b.s.loop, [&] { return b.client->answered() >= 500; });
+  run_until(b.s.loop, [&] { return b.client->answered() >= 500; });
   standin::FaultSettings few;
   few.fault = Fault::few_streams, few.times = 1;
   b.s.endpoint("d1-1").begin(few);
-  rest(b.s.loop, 200 * kMs);  // until the open streams have ended and the relay has read the new limit
+  run_for(b.s.loop, 200 * kMs);  // until the open streams have ended and the relay has read the new limit
   const std::size_t from = b.s.frames.size();
-  turn(b.s.loop, [&] { return b.client->answered() >= 1'400; });
+  run_until(b.s.loop, [&] { return b.client->answered() >= 1'400; });
   std::map<std::uint64_t, std::set<std::uint32_t>> open;
   std::size_t most = 0, calls = 0;
   for (std::size_t i = from; i < b.s.frames.size(); i++) {
@@ -171,12 +172,12 @@
   EXPECT_GT(calls, 50u);
   EXPECT_EQ(most, 1u);
   b.s.endpoint("d1-1").end(Fault::few_streams);
-  turn(b.s.loop, [&] { return b.client->done(); });
+  run_until(b.s.loop, [&] { return b.client->done(); });
   EXPECT_EQ(b.finals(), 2'000u);
-  EXPECT_GE(b.sum(&rig::LoadBook::Tally::served), 1'980u);
+  EXPECT_GE(b.sum(&rig::LoadModel::Tally::served), 1'980u);
   b.s.node.reset();
   const auto check = b.check_rules();
-  EXPECT_TRUE(check.kept()) << rig::table_of(check);
+  EXPECT_TRUE(check.passed()) << rig::format_check_result(check);
 }
 
 // 10,000 messages wait for one destination that never answers. Each gets its final answer by its deadline,
@@ -192,11 +193,11 @@
   Client near(b.s.loop, b.s.node->address());
   std::size_t most = 0;
   std::vector<http2::StreamId> ids;
-  turn(
+  run_until(
       b.s.loop,
       [&] {
         most = std::max(most, b.s.node->core().held());
-        if (ids.size() < 200 && b.client->asked() > ids.size() * 50)
+        if (ids.size() < 200 && b.client->created() > ids.size() * 50)
           ids.push_back(
               near.push("/push/near/status", "id=n" + std::to_string(ids.size()) + ";class=status;"));
         return b.client->done() && near.answers.size() == ids.size();
@@ -209,16 +210,16 @@
   EXPECT_EQ(near_served, ids.size());
   b.s.node.reset();
   const auto check = b.check_rules();
-  EXPECT_TRUE(check.kept()) << rig::table_of(check);
+  EXPECT_TRUE(check.passed()) << rig::format_check_result(check);
 }
 
 // A partner goes down, 5,000 messages of an unsafe class wait for it, and it comes back cold.
 struct ColdReturn {
   std::uint64_t finals = 0, served = 0;
   int falls = 0;
-  rig::Verdict check;
+  rig::CheckResult check;
 };
-ColdReturn cold_return(const node::Node::DeciderMaker& decider) {
+ColdReturn cold_return(const node::Node::DeciderFactory& decider) {
   Burst b(9);
   auto& d = b.s.settings.dispatcher;
   d.open_max = 8'000, d.cold = 4 * kS, d.overload_for = 1 * kS, d.cold_from = 0.2, d.fall_multiple = 2;
@@ -232,21 +233,21 @@
   b.load.classes = {{"pay", 1, Effect::unsafe, 40 * kS, 0, false}};
   b.load.count = 8'000, b.load.rate = 800, b.load.outstanding = 0;
   b.start();
-  turn(b.s.loop, [&] { return b.client->answered() >= 2'000; });
+  run_until(b.s.loop, [&] { return b.client->answered() >= 2'000; });
   const auto all = [&](auto f) {
     for (const char* e : {"d1-1", "d1-2"}) f(b.s.endpoint(e));
   };
   const Time from = b.s.loop.now();
   all([](standin::Endpoint& e) { e.begin({.fault = Fault::down}); });
-  b.client->book().set_rate_times(3);
-  turn(b.s.loop, [&] { return b.s.node->core().held() >= 5'000; });
-  b.client->book().set_rate_times(0.5);
-  const Time to = b.s.loop.refresh();
+  b.client->model().set_rate_multiplier(3);
+  run_until(b.s.loop, [&] { return b.s.node->core().held() >= 5'000; });
+  b.client->model().set_rate_multiplier(0.5);
+  const Time to = b.s.loop.refresh_now();
   all([](standin::Endpoint& e) { e.end(Fault::down); });
-  const auto falls = [&] { return b.s.destinations[0]->place_of("d1-1").falls(); };
-  turn(b.s.loop, [&] { return b.client->done() || falls() > 0; });
+  const auto falls = [&] { return b.s.destinations[0]->capacity_of("d1-1").overloads(); };
+  run_until(b.s.loop, [&] { return b.client->done() || falls() > 0; });
   ColdReturn r;
-  r.finals = b.finals(), r.served = b.sum(&rig::LoadBook::Tally::served);
+  r.finals = b.finals(), r.served = b.sum(&rig::LoadModel::Tally::served);
   r.falls = falls();
   b.s.node.reset();
   r.check = b.check_rules({{"d1", {{from, to}}}});
@@ -262,7 +263,7 @@
   EXPECT_GE(r.served, 7'800u);
   EXPECT_EQ(r.falls, 0);
   EXPECT_EQ(r.check.rules[3].checked, 1u);
-  EXPECT_TRUE(r.check.kept()) << rig::table_of(r.check);
+  EXPECT_TRUE(r.check.passed()) << rig::format_check_result(r.check);
 }
 
 // The same with plain retries and no protection of the cold destination: shows that the test above can fail.
@@ -271,7 +272,7 @@
     return lab::make_decider(lab::Policy::fixed, settings, seed);
   });
   EXPECT_GT(r.falls, 0);
-  EXPECT_FALSE(r.check.rules[3].broken.empty());
+  EXPECT_FALSE(r.check.rules[3].violations.empty());
 }
 
 // One tenant of three sends six times its share all the time, more than the partners can serve. The other
@@ -290,9 +291,10 @@
   b.load.skew = 0, b.load.rate = 220, b.load.count = 3'500, b.load.outstanding = 0;
   b.load.tenants = settings.names.tenants, b.load.tenant_field = settings.tenant_field;
   b.start();
-  b.client->book().set_greedy(1, 6);
-  b.client->book().set_rate_times(8.0 / 3);  // 1 + 6 + 1 shares instead of three: the others send as before
-  turn(
+  b.client->model().set_greedy_tenant(1, 6);
+  b.client->model().set_rate_multiplier(8.0 /
+                                        3);  // 1 + 6 + 1 shares instead of three: the others send as before
+  run_until(
       b.s.loop, [&] { return b.client->done(); }, 120 * kS);
   std::map<std::pair<std::uint64_t, std::uint32_t>, std::string> tenant_of;
   std::map<std::string, std::pair<int, int>> served;  // by tenant: served and sent messages
@@ -310,10 +312,10 @@
   EXPECT_LT(share("b"), 0.8) << "the tenant did not send more than the partners can serve";
   EXPECT_GT(share("a"), 0.95);
   EXPECT_GT(share("c"), 0.95);
-  const auto not_taken = b.s.node->core().counts().not_taken;
+  const auto not_taken = b.s.node->core().counts().rejected;
   b.s.node.reset();
   const auto check = b.check_rules();
-  EXPECT_TRUE(check.kept()) << rig::table_of(check);
+  EXPECT_TRUE(check.passed()) << rig::format_check_result(check);
   return not_taken;
 }
 
@@ -355,7 +357,7 @@
       return (&c - clients.data()) % 10 == 0 || c->answers.size() == 4;
     });
   };
-  turn(s.loop, answered);
+  run_until(s.loop, answered);
   for (std::size_t i = 0; i < clients.size(); i++) {
     if (i % 10 == 0) continue;
     for (const auto& [stream, n] : clients[i]->answers) {
@@ -364,7 +366,7 @@
     }
   }
   for (std::size_t i = 0; i < clients.size(); i += 10) clients[i]->stream->pause_reading(false);
-  turn(s.loop, [&] {
+  run_until(s.loop, [&] {
     return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->answers.size() == 4; });
   });
   EXPECT_EQ(s.effects.size(), 2'000u);
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -13,12 +13,12 @@
 namespace {
 
 constexpr Time kMs = 1'000, kS = 1'000'000;
-using record::Record;
+using record::CaptureRecord;
 
 // A short recording: pushes by a client to relay r, and calls by the relay at endpoints.
 struct Recording {
-  Facts input;
-  std::vector<Record> records;
+  CheckerInput input;
+  std::vector<CaptureRecord> records;
   std::vector<standin::Effect> effects;
   std::uint32_t streams = 1;
   std::map<std::string, std::uint32_t> pushes, calls;
@@ -28,18 +28,18 @@
                      {"pay", {Effect::unsafe, 6 * kS, false}},
                      {"note", {Effect::keyed, 6 * kS, false}},
                      {"gate", {Effect::keyed, 6 * kS, true}}};
-    input.place_of = {{"e1", "d"}, {"e2", "d"}};
-    input.places["d"] = {.capacity = 10,
-                         .cold_from = 0.2,
-                         .fall_multiple = 2,
-                         .cold = 5 * kS,
-                         .overload_for = 2 * kS,
-                         .outages = {}};
+    input.domain_of = {{"e1", "d"}, {"e2", "d"}};
+    input.domains["d"] = {.capacity = 10,
+                          .cold_from = 0.2,
+                          .fall_multiple = 2,
+                          .cold = 5 * kS,
+                          .overload_for = 2 * kS,
+                          .outages = {}};
     input.drain_grace = 1 * kS;
   }
-  Record& add(Time at, Record::Side side, const std::string& place, bool sent, const char* what,
-              std::uint32_t stream) {
-    Record r;
+  CaptureRecord& add(Time at, CaptureRecord::Side side, const std::string& place, bool sent, const char* what,
+                     std::uint32_t stream) {
+    CaptureRecord r;
     r.at = at, r.side = side, r.place = place, r.connection = 1, r.sent = sent, r.what = what,
     r.stream = stream;
     records.push_back(r);
@@ -47,24 +47,24 @@
   }
   void push(Time at, const std::string& id, const std::string& cls, const std::string& topic = "") {
     const auto s = pushes[id] = streams += 2;
-    auto& h = add(at, Record::Side::client, "r", true, "HEADERS", s);
+    auto& h = add(at, CaptureRecord::Side::client, "r", true, "HEADERS", s);
     h.fields = {{":path", "/push/d/" + cls}, {"ttl", "6"}};
     if (!topic.empty()) h.fields["topic"] = topic;
-    auto& d = add(at, Record::Side::client, "r", true, "DATA", s);
+    auto& d = add(at, CaptureRecord::Side::client, "r", true, "DATA", s);
     d.end = true, d.message = id;
   }
   void answer(Time at, const std::string& id, const char* status) {
-    add(at, Record::Side::client, "r", false, "HEADERS", pushes[id]).fields = {{":status", status}};
+    add(at, CaptureRecord::Side::client, "r", false, "HEADERS", pushes[id]).fields = {{":status", status}};
   }
   void call(Time at, const std::string& id, const std::string& endpoint) {
     const auto s = calls[id + endpoint] = streams += 2;
-    add(at, Record::Side::endpoint, endpoint, false, "HEADERS", s).fields = {{"via", "2 r"}};
-    auto& d = add(at, Record::Side::endpoint, endpoint, false, "DATA", s);
+    add(at, CaptureRecord::Side::endpoint, endpoint, false, "HEADERS", s).fields = {{"via", "2 r"}};
+    auto& d = add(at, CaptureRecord::Side::endpoint, endpoint, false, "DATA", s);
     d.end = true, d.message = id;
   }
   void reply(Time at, const std::string& id, const std::string& endpoint, const char* status,
              const char* wait = nullptr) {
-    auto& h = add(at, Record::Side::endpoint, endpoint, true, "HEADERS", calls[id + endpoint]);
+    auto& h = add(at, CaptureRecord::Side::endpoint, endpoint, true, "HEADERS", calls[id + endpoint]);
     h.fields = {{":status", status}};
     if (wait != nullptr) h.fields["retry-after"] = wait;
     if (status[0] == '2') effects.push_back({at, endpoint, "d", id, ""});
@@ -78,7 +78,7 @@
     std::string rules;
     const auto result = check_rules(input, records, effects);
     for (int i = 0; i < 6; i++)
-      if (!result.rules[i].broken.empty()) rules += static_cast<char>('1' + i);
+      if (!result.rules[i].violations.empty()) rules += static_cast<char>('1' + i);
     return rules;
   }
 };
@@ -94,11 +94,12 @@
   Recording d;
   d.push(0, "m-1.0", "safe");
   EXPECT_EQ(d.broken(), "1");
-  d.input.lives.push_back({"r", 0, 3 * kS});  // messages that a killed relay held are the client's concern
+  d.input.ended_runs.push_back(
+      {"r", 0, 3 * kS});  // messages that a killed relay held are the client's concern
   EXPECT_EQ(d.broken(), "");
   Recording dead;  // pushed to a relay that was dead already, before its client noticed
   dead.push(kS, "m-1.0", "safe");
-  dead.input.lives.push_back({"r", 0, kS - 20 * kMs});
+  dead.input.ended_runs.push_back({"r", 0, kS - 20 * kMs});
   EXPECT_EQ(dead.broken(), "");
 }
 // A GOAWAY also proves that calls sent before the relay read it did not run.
@@ -106,7 +107,7 @@
   for (const bool goaway : {false, true}) {
     Recording d;
     d.push(0, "m-1.0", "pay");
-    if (goaway) d.add(5 * kMs, Record::Side::endpoint, "e1", true, "GOAWAY", 0).last = 1;
+    if (goaway) d.add(5 * kMs, CaptureRecord::Side::endpoint, "e1", true, "GOAWAY", 0).last = 1;
     d.call(10 * kMs, "m-1.0", "e1"), d.call(kS, "m-1.0", "e2");
     d.reply(kS + 50 * kMs, "m-1.0", "e2", "201"), d.answer(kS + 60 * kMs, "m-1.0", "201");
     EXPECT_EQ(d.broken(), goaway ? "" : "2");
@@ -133,7 +134,7 @@
   EXPECT_EQ(after.broken(), "1");
   Recording withdrawn;
   withdrawn.push(0, "m-1.0", "safe");
-  withdrawn.add(100 * kMs, Record::Side::client, "r", true, "RST_STREAM", withdrawn.pushes["m-1.0"]);
+  withdrawn.add(100 * kMs, CaptureRecord::Side::client, "r", true, "RST_STREAM", withdrawn.pushes["m-1.0"]);
   EXPECT_EQ(withdrawn.broken(), "");
   withdrawn.call(kS, "m-1.0", "e1");
   EXPECT_EQ(withdrawn.broken(), "1");
@@ -166,7 +167,7 @@
 }
 TEST(Checker, Rule3Drains) {
   Recording d;
-  d.input.told = {{"e1", 1 * kS}};
+  d.input.drain_notices = {{"e1", 1 * kS}};
   d.served(2 * kS, "m-1.0", "safe");
   EXPECT_EQ(d.broken(), "");  // within reread and grace
   d.served(3 * kS, "m-2.0", "safe");
@@ -175,10 +176,10 @@
 TEST(Checker, Rule4PushOver) {
   const auto broken_rules = [](bool knew) {
     Recording d;
-    d.input.places["d"].outages = {{kS, 3 * kS}};
+    d.input.domains["d"].outages = {{kS, 3 * kS}};
     if (knew) {
       d.push(2 * kS, "m-0.0", "safe"), d.call(2 * kS, "m-0.0", "e1");
-      d.add(2'500 * kMs, Record::Side::endpoint, "e1", false, "RST_STREAM", d.calls["m-0.0e1"]),
+      d.add(2'500 * kMs, CaptureRecord::Side::endpoint, "e1", false, "RST_STREAM", d.calls["m-0.0e1"]),
           d.answer(2'500 * kMs, "m-0.0", "503");
     }
     for (int i = 1; i <= 60; i++) d.served(3 * kS + i * 10 * kMs, "m-" + std::to_string(i) + ".0", "safe");
@@ -197,7 +198,7 @@
   Recording doubt;  // given up at 100 ms: the order key is blocked for settle_after_doubt
   doubt.input.settle_after_doubt = kS;
   doubt.push(0, "m-1.0", "gate", "t"), doubt.call(10 * kMs, "m-1.0", "e1");
-  doubt.add(100 * kMs, Record::Side::endpoint, "e1", false, "RST_STREAM", doubt.calls["m-1.0e1"]),
+  doubt.add(100 * kMs, CaptureRecord::Side::endpoint, "e1", false, "RST_STREAM", doubt.calls["m-1.0e1"]),
       doubt.answer(100 * kMs, "m-1.0", "504");
   doubt.served(400 * kMs, "m-2.0", "gate", "t");
   EXPECT_EQ(doubt.broken(), "5");
@@ -245,8 +246,9 @@
   server.receive(1, up, events);
   server.respond(id, {{":status", "429"}, {"retry-after", "2"}}, "");
   const std::string down = server.take_output();
-  std::vector<Record> seen;
-  record::Http2Tap tap(Record::Side::client, "r", 1, true, [&](Record&& r) { seen.push_back(std::move(r)); });
+  std::vector<CaptureRecord> seen;
+  record::Http2WireCapture tap(CaptureRecord::Side::client, "r", 1, true,
+                               [&](CaptureRecord&& r) { seen.push_back(std::move(r)); });
   for (const char c : up) tap.pass(1, true, {&c, 1});
   for (const char c : down) tap.pass(2, false, {&c, 1});
   ASSERT_EQ(seen.size(), 3u);
@@ -265,12 +267,12 @@
 
 TEST(Place, LimitsCountRefusedCallsWhereSet) {
   for (const bool count : {false, true}) {
-    PlaceSettings s;
+    CapacitySettings s;
     s.servers = 100, s.service_cv = 0, s.limit_per_s = 10, s.limit_span = kS, s.refused_count = count;
-    Place p(s, 1);
+    CapacityModel p(s, 1);
     int served = 0;
     for (Time t = 0; t < 10 * kS; t += 50 * kMs)
-      served += p.arrive(t).verdict == emulator::Verdict::accepted;  // 20 per second
+      served += p.arrive(t).result == emulator::ArrivalResult::accepted;  // 20 per second
     if (count)
       EXPECT_LE(served, 12);  // refused calls keep the limit used up
     else
@@ -278,25 +280,25 @@
   }
 }
 TEST(Place, QueuesThenTurnsAway) {
-  PlaceSettings s;
+  CapacitySettings s;
   s.servers = 2, s.service = 100 * kMs, s.service_cv = 0, s.queue = 3;
-  Place p(s, 1);
+  CapacityModel p(s, 1);
   std::vector<Time> done;
   for (int i = 0; i < 5; i++) done.push_back(p.arrive(0).done_at);
   EXPECT_EQ(done, (std::vector<Time>{100 * kMs, 100 * kMs, 200 * kMs, 200 * kMs, 300 * kMs}));
-  EXPECT_EQ(p.arrive(0).verdict, emulator::Verdict::queue_full);
+  EXPECT_EQ(p.arrive(0).result, emulator::ArrivalResult::queue_full);
 }
 TEST(Place, BackColdItFallsWhenPushed) {
-  PlaceSettings s;
+  CapacitySettings s;
   // 100 calls per second when warm, 20 when cold.
   s.servers = 10, s.service = 100 * kMs, s.cold = 5 * kS, s.fall_multiple = 2;
-  Place gentle(s, 1), pushed(s, 1), warm(s, 1);
-  for (Place* p : {&gentle, &pushed}) p->outage_begins(0), p->outage_ends(kS);
+  CapacityModel gentle(s, 1), pushed(s, 1), warm(s, 1);
+  for (CapacityModel* p : {&gentle, &pushed}) p->outage_begins(0), p->outage_ends(kS);
   for (Time t = kS; t < 5 * kS; t += 50 * kMs) gentle.arrive(t);
   for (Time t = kS; t < 5 * kS; t += 5 * kMs) pushed.arrive(t), warm.arrive(t);
-  EXPECT_EQ(gentle.falls(), 0);
-  EXPECT_GE(pushed.falls(), 1);
-  EXPECT_EQ(warm.falls(), 0);
+  EXPECT_EQ(gentle.overloads(), 0);
+  EXPECT_GE(pushed.overloads(), 1);
+  EXPECT_EQ(warm.overloads(), 0);
 }
 
 }  // namespace
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -42,7 +42,7 @@
   EXPECT_EQ(s.partners_reread, 200'000);
   EXPECT_EQ(s.dispatcher.classes[2].key_window, 5'000'000);
   EXPECT_TRUE(s.dispatcher.classes[2].ordered && s.dispatcher.kinds[0].routes_apart &&
-              s.kind_wire[1].unseen_503);
+              s.kind_protocols[1].unseen_503);
   EXPECT_DOUBLE_EQ(s.dispatcher.tenants[1].quota_per_s, 1.5);
   EXPECT_EQ(s.dispatcher.zone, 1);
   EXPECT_EQ(s.dispatcher.decay, Decay::halves);
--- a/tests/conformance_test.cpp
+++ b/tests/conformance_test.cpp
@@ -69,7 +69,7 @@
 
 // The stand-ins for a list of cases, and the fields of each case's message.
 struct Prepared {
-  Standins standins;
+  StandinThread standins;
   const std::vector<Case>& list;
   explicit Prepared(const std::vector<Case>& l, bool centres = false) : standins(centres), list(l) {
     for (std::size_t i = 0; i < list.size(); i++) {
@@ -141,7 +141,7 @@
       address = line.substr(at + 10, line.find('"', at + 10) - at - 10);
   });
   std::vector<Result> results(list.size());
-  turn(loop, [&] { return !address.empty(); });
+  run_until(loop, [&] { return !address.empty(); });
   Client c(loop, address);
   std::map<http2::StreamId, std::size_t> streams;
   for (std::size_t i = 0; i < list.size(); i++) {
@@ -151,10 +151,10 @@
     streams[c.push("/push/" + p.destination(i) + "/" + list[i].message_class, p.body(i), more)] = i;
   }
   if (drain_after > 0) {
-    rest(loop, drain_after);
+    run_for(loop, drain_after);
     relay.signal(SIGTERM);
   }
-  turn(loop, [&] { return c.answers.size() == list.size(); });
+  run_until(loop, [&] { return c.answers.size() == list.size(); });
   for (const auto& [stream, i] : streams) {
     EXPECT_EQ(c.answers[stream], 1) << list[i].name;
     const auto status = c.status(stream);
@@ -175,7 +175,7 @@
     r.detail = field("last_outcome") == "never sent" ? "" : field("last_outcome");
   }
   if (drain_after == 0) relay.signal(SIGTERM);  // a second one would stop it at once
-  turn(loop, [&] { return !relay.running(); });
+  run_until(loop, [&] { return !relay.running(); });
   EXPECT_EQ(relay.exit_code(), 0);
   p.finish(results);
   return results;
@@ -192,9 +192,9 @@
                        if (address.empty() && at != std::string::npos)
                          address = line.substr(at + 8, line.find('"', at + 8) - at - 8);
                      });
-  turn(loop, [&] { return !address.empty(); });
+  run_until(loop, [&] { return !address.empty(); });
   Esme e(loop, address);
-  turn(loop, [&] { return e.session.bound(); });
+  run_until(loop, [&] { return e.session.bound(); });
   std::vector<Result> results(list.size());
   std::map<std::uint32_t, std::size_t> sent;
   for (std::size_t i = 0; i < list.size(); i++) {
@@ -206,7 +206,7 @@
                            : cls == "status" ? ""
                                              : "XYZ",
                            "");
-    m.validity = sms::relative_time(list[i].ttl);
+    m.validity = sms::format_relative_time(list[i].ttl);
     m.tlvs.push_back({smpp::tag::message_payload, p.body(i)});
     if (!p.key(i).empty()) m.tlvs.push_back({sms::own::key, p.key(i)});
     if (!list[i].topic.empty()) m.tlvs.push_back({sms::own::topic, list[i].topic});
@@ -217,22 +217,22 @@
       EXPECT_GT(list[i].body, 65'535u);
     }
   }
-  turn(loop, [&] { return e.responses.size() == sent.size(); });
+  run_until(loop, [&] { return e.responses.size() == sent.size(); });
   if (drain_after > 0) {
-    rest(loop, drain_after);
+    run_for(loop, drain_after);
     relay.signal(SIGTERM);
   }
   std::size_t accepted = 0;
   for (const auto& [n, i] : sent) accepted += e.status(n) == smpp::status::ok;
-  turn(loop, [&] { return e.receipts.size() == accepted; });
+  run_until(loop, [&] { return e.receipts.size() == accepted; });
   for (const auto& [n, i] : sent) {
     if (e.status(n) != smpp::status::ok) continue;
-    const int state = e.state(n);
+    const int state = e.receipt_state(n);
     EXPECT_GT(state, 0) << list[i].name << ": one receipt each";
     results[i].final = state == sms::kDelivered ? "served" : state == sms::kRejected ? "refused" : "failed";
   }
   if (drain_after == 0) relay.signal(SIGTERM);
-  turn(loop, [&] { return !relay.running(); });
+  run_until(loop, [&] { return !relay.running(); });
   EXPECT_EQ(relay.exit_code(), 0);
   p.finish(results);
   return results;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -33,14 +33,14 @@
 };
 
 // Implements all interfaces of the core and records what reaches them.
-struct CoreFixture final : Transport, Answers, ListSource, Notes, Log {
-  std::vector<CallOrder> sent;
+struct CoreFixture final : Transport, AnswerSink, ListSource, PeerChannel, Log {
+  std::vector<OutgoingCall> sent;
   std::vector<CallId> cancelled, waiting;
   std::map<MessageId, std::string> answers;
-  Recalled how = Recalled::sent;
+  CancelResult how = CancelResult::sent;
   Time come_back = 0;
-  void send(const CallOrder& c) override { sent.push_back(c); }
-  Recalled cancel(CallId c) override { return cancelled.push_back(c), how; }
+  void send(const OutgoingCall& c) override { sent.push_back(c); }
+  CancelResult cancel(CallId c) override { return cancelled.push_back(c), how; }
   bool take_back(CallId c) override {
     if (std::find(waiting.begin(), waiting.end(), c) == waiting.end()) return false;
     std::erase(waiting, c);
@@ -49,11 +49,11 @@
   std::vector<CallId> recall(const EndpointId&) override { return std::exchange(waiting, {}); }
   void close_idle(const EndpointId&) override {}
   void probe(const EndpointId&) override {}
-  void served(MessageId id, const Ending&) override { answers[id] += "served "; }
-  void refused(MessageId id, Time back, const Account&) override {
+  void served(MessageId id, const CallResult&) override { answers[id] += "served "; }
+  void refused(MessageId id, Time back, const AttemptSummary&) override {
     answers[id] += "refused ", come_back = back;
   }
-  void failed(MessageId id, const Account&) override { answers[id] += "failed "; }
+  void failed(MessageId id, const AttemptSummary&) override { answers[id] += "failed "; }
   void fetch() override {}
   void subscribe(bool) override {}
   void tell(int, const std::string&) override {}
@@ -74,15 +74,15 @@
     round();
   }
   Time now = kS;
-  void round() { core->turn(now += 10 * kMs); }
-  Core::Taken take(MessageId id, int cls = 0, Time left = 5 * kS) {
+  void round() { core->run_due(now += 10 * kMs); }
+  Core::AcceptStatus take(MessageId id, int cls = 0, Time left = 5 * kS) {
     NewMessage m;
     m.message_class = cls, m.time_left = left;
-    return core->take(now, id, m);
+    return core->accept(now, id, m);
   }
   void act(std::vector<Action> actions) {
     script->next = std::move(actions);
-    core->note(0, "");  // an event, so that there is a round
+    core->peer_note_received(0, "");  // an event, so that there is a round
     round();
   }
 };
@@ -97,10 +97,10 @@
   b.act({action::Send{1, "e", 3 * kS}});
   ASSERT_EQ(b.sent.size(), 2u);
   b.waiting = {b.sent[1].id};
-  b.core->turn(b.now = first + kS - 1);
+  b.core->run_due(b.now = first + kS - 1);
   EXPECT_EQ(b.waiting.size(), 1u);
   EXPECT_EQ(b.core->next_due(), first + kS);
-  b.core->turn(b.now = first + kS);
+  b.core->run_due(b.now = first + kS);
   EXPECT_TRUE(b.waiting.empty()) << "the repeat may still be sent after its key window";
   EXPECT_EQ(b.core->slots_used(), 0u);
   // A repeat that was sent within the window stays out.
@@ -108,7 +108,7 @@
   b.act({action::Send{2, "e", 3 * kS}});
   b.core->call_ended(b.now, b.sent[2].id, {Outcome::reset, 0, {}, "lost", {}});
   b.act({action::Send{2, "e", 3 * kS}});
-  b.core->turn(b.now += 2 * kS);
+  b.core->run_due(b.now += 2 * kS);
   EXPECT_EQ(b.core->slots_used(), 1u);
 }
 
@@ -169,7 +169,7 @@
 TEST(Core, SlotsAreKeptAndBundlesShareOne) {
   CoreFixture b(2, 3);
   for (MessageId id = 1; id <= 5; id++) b.take(id);
-  EXPECT_EQ(b.take(6), Core::Taken::full);
+  EXPECT_EQ(b.take(6), Core::AcceptStatus::full);
   b.round();
   b.act({action::Send{1, "e", kS}, action::Send{2, "e", kS}, action::Send{3, "e", kS},
          action::Send{4, "f", kS}, action::Send{5, "e", kS}});
@@ -195,23 +195,23 @@
     Core core(b.settings, make_dispatcher(b.settings, 1), {b, b, b, b, b});
     core.list_whole({{"e", 0, 0, 0, Listing::active, 1, 0}}, false);
     Time now = 7'200 * kS;
-    core.turn(now);
+    core.run_due(now);
     for (MessageId id = 1; id <= 30; id++) {
       NewMessage m;
       m.message_class = static_cast<int>(id % 3), m.time_left = 5 * kS;
-      ASSERT_EQ(core.take(now, id, m), Core::Taken::yes);
+      ASSERT_EQ(core.accept(now, id, m), Core::AcceptStatus::accepted);
     }
-    core.turn(now += 10 * kMs);
+    core.run_due(now += 10 * kMs);
     const auto sent = b.sent.size();
     ASSERT_GT(sent, 0u);
-    core.turn(now + jump);
+    core.run_due(now + jump);
     if (jump > 0) {
       EXPECT_EQ(b.sent.size(), sent);
     }
     // After the jump, or with the clock back at the right time, each message is answered by its deadline.
     for (Time t = std::max(now, now + jump); core.held() > 0 && t < now + std::max<Time>(jump, 0) + 10 * kS;
          t += 10 * kMs)
-      core.turn(t);
+      core.run_due(t);
     EXPECT_EQ(core.held(), 0u) << jump;
     EXPECT_EQ(b.answers.size(), 30u);
     for (const auto& [id, answer] : b.answers)
@@ -221,10 +221,10 @@
 }
 
 TEST(Core, ATimeOutTellsWhetherAnythingHadLeft) {
-  const std::vector<std::pair<Transport::Recalled, Outcome>> cases = {
-      {Transport::Recalled::sent, Outcome::timeout},
-      {Transport::Recalled::connecting, Outcome::connect_failed},
-      {Transport::Recalled::waiting, Outcome::not_sent}};
+  const std::vector<std::pair<Transport::CancelResult, Outcome>> cases = {
+      {Transport::CancelResult::sent, Outcome::timeout},
+      {Transport::CancelResult::connecting, Outcome::connect_failed},
+      {Transport::CancelResult::queued, Outcome::not_sent}};
   for (const auto& [how, outcome] : cases) {
     CoreFixture b;
     b.how = how;
@@ -244,7 +244,7 @@
 // then given up for good. Otherwise its call would be out, and hold its slot, for ever.
 TEST(Core, AMessageThatStaysWithItsCallIsGivenUpAtItsDeadline) {
   CoreFixture b;
-  b.how = Transport::Recalled::kept;
+  b.how = Transport::CancelResult::kept_in_bundle;
   b.take(1, 1), b.round();
   b.act({action::Send{1, "e", 50 * kMs}});
   b.now += 50 * kMs;
@@ -254,7 +254,7 @@
   EXPECT_EQ(b.core->held(), 1u);
   const Time deadline = b.core->next_due();
   EXPECT_GT(deadline, b.now + kS / 2);
-  b.how = Transport::Recalled::sent;
+  b.how = Transport::CancelResult::sent;
   b.now = deadline;
   b.round(), b.round();
   EXPECT_EQ(b.cancelled.size(), 2u);
@@ -299,8 +299,8 @@
   b.act({action::Send{1, "e", kS}, action::Send{2, "e", kS}, action::Send{4, "e", kS},
          action::Send{5, "e", kS}});
   b.core->call_ended(b.now, b.sent[3].id, {Outcome::full, 0, {}, "", ""});
-  b.core->stop_taking();
-  EXPECT_EQ(b.take(6), Core::Taken::stopping);
+  b.core->stop_accepting();
+  EXPECT_EQ(b.take(6), Core::AcceptStatus::stopping);
   b.core->end_all(b.now);
   const std::map<MessageId, std::string> expected = {
       {1, "refused "}, {2, "failed "}, {3, "refused "}, {4, "failed "}, {5, "refused "}};
@@ -311,13 +311,13 @@
 TEST(Fate, Table) {
   ClassSettings safe, unsafe, all, zone;
   unsafe.effect = Effect::unsafe, all.effect = zone.effect = Effect::keyed, zone.group = KeyGroup::zone;
-  const History none, ran{true, false}, out{false, true};
-  EXPECT_EQ(fate_at_stop(safe, ran), Fate::refuse);
-  EXPECT_EQ(fate_at_stop(all, out), Fate::refuse);
+  const AttemptHistory none, ran{true, false}, out{false, true};
+  EXPECT_EQ(choose_final_answer(safe, ran), FinalAnswer::refuse);
+  EXPECT_EQ(choose_final_answer(all, out), FinalAnswer::refuse);
   for (const auto& c : {unsafe, zone}) {
-    EXPECT_EQ(fate_at_stop(c, none), Fate::refuse);
-    EXPECT_EQ(fate_at_stop(c, ran), Fate::fail);
-    EXPECT_EQ(fate_at_stop(c, out), Fate::fail);
+    EXPECT_EQ(choose_final_answer(c, none), FinalAnswer::refuse);
+    EXPECT_EQ(choose_final_answer(c, ran), FinalAnswer::fail);
+    EXPECT_EQ(choose_final_answer(c, out), FinalAnswer::fail);
   }
 }
 
@@ -329,33 +329,33 @@
 }
 
 TEST(PartnerBook, TellsTheWholeListOnceThenChanges) {
-  PartnerBook book;
+  PartnerRegistry book;
   auto a = partner("a", "x", "1"), b = partner("b", "y", "2");
-  auto update = book.take({1, {a, b}}, 5);
+  auto update = book.apply_list({1, {a, b}}, 5);
   EXPECT_TRUE(update.whole);
   EXPECT_EQ(update.endpoints.size(), 2u);
-  EXPECT_EQ(book.take({1, {a, b}}, 6).endpoints.size(), 0u);
+  EXPECT_EQ(book.apply_list({1, {a, b}}, 6).endpoints.size(), 0u);
   a.listing = Listing::draining;
-  update = book.take({2, {a, partner("c", "x", "3")}}, 7);
+  update = book.apply_list({2, {a, partner("c", "x", "3")}}, 7);
   EXPECT_FALSE(update.whole);
   ASSERT_EQ(update.endpoints.size(), 3u);
   EXPECT_EQ(update.endpoints[0].listing, Listing::draining);
   EXPECT_EQ(update.endpoints[1].since, 7);  // added while running
   EXPECT_EQ(update.endpoints[2].listing, Listing::gone);
-  EXPECT_FALSE(book.destination("y"));
-  EXPECT_TRUE(book.destination("x"));
+  EXPECT_FALSE(book.find_destination("y"));
+  EXPECT_TRUE(book.find_destination("x"));
 }
 
 TEST(PartnerBook, AnIdDoesNotMove) {
-  PartnerBook book;
-  book.take({1, {partner("a", "x", "1"), partner("b", "x", "2")}}, 5);
-  auto update = book.take({2, {partner("a", "y", "1"), partner("b", "x", "2")}}, 6);
+  PartnerRegistry book;
+  book.apply_list({1, {partner("a", "x", "1"), partner("b", "x", "2")}}, 5);
+  auto update = book.apply_list({2, {partner("a", "y", "1"), partner("b", "x", "2")}}, 6);
   ASSERT_EQ(update.problems.size(), 1u);
   ASSERT_EQ(update.endpoints.size(), 1u);
   EXPECT_EQ(update.endpoints[0].listing, Listing::gone);
   // Unlisted endpoints are remembered too; back at its old address, the endpoint is accepted again.
-  EXPECT_EQ(book.take({3, {partner("a", "x", "9"), partner("b", "x", "2")}}, 7).problems.size(), 1u);
-  EXPECT_EQ(book.take({4, {partner("a", "x", "1"), partner("b", "x", "2")}}, 8).endpoints.size(), 1u);
+  EXPECT_EQ(book.apply_list({3, {partner("a", "x", "9"), partner("b", "x", "2")}}, 7).problems.size(), 1u);
+  EXPECT_EQ(book.apply_list({4, {partner("a", "x", "1"), partner("b", "x", "2")}}, 8).endpoints.size(), 1u);
 }
 
 }  // namespace
@@ -367,9 +367,9 @@
 using http2::ErrorCode;
 
 TEST(Semantics, OnlyProofSaysThatACallNeverRan) {
-  const config::KindWire seen{false}, unseen{true};
-  const auto outcome = [](const char* status, const config::KindWire& kind) {
-    return ending_of_response({{":status", status}}, kind, 0).outcome;
+  const config::KindProtocol seen{false}, unseen{true};
+  const auto outcome = [](const char* status, const config::KindProtocol& kind) {
+    return result_of_response({{":status", status}}, kind, 0).outcome;
   };
   for (const char* status : {"200", "201", "204"}) EXPECT_EQ(outcome(status, seen), Outcome::served);
   for (const char* status : {"400", "404", "410", "500", "502", "503", "504", "301"})
@@ -377,13 +377,15 @@
   EXPECT_EQ(outcome("429", seen), Outcome::full);
   EXPECT_EQ(outcome("503", unseen), Outcome::full);
   EXPECT_EQ(outcome("500", unseen), Outcome::error);
-  const auto cut = [](Break how, ErrorCode code) { return ending_of_break(how, code, "").outcome; };
-  EXPECT_EQ(cut(Break::no_connection, ErrorCode::no_error), Outcome::connect_failed);
-  EXPECT_EQ(cut(Break::unsent, ErrorCode::no_error), Outcome::connect_failed);
-  EXPECT_EQ(cut(Break::refused_stream, ErrorCode::refused_stream), Outcome::full);
-  EXPECT_EQ(cut(Break::goaway, ErrorCode::no_error), Outcome::not_sent);
-  EXPECT_EQ(cut(Break::goaway, ErrorCode::enhance_your_calm), Outcome::full);
-  EXPECT_EQ(cut(Break::reset, ErrorCode::cancel), Outcome::reset);
+  const auto cut = [](Interruption how, ErrorCode code) {
+    return result_of_interruption(how, code, "").outcome;
+  };
+  EXPECT_EQ(cut(Interruption::no_connection, ErrorCode::no_error), Outcome::connect_failed);
+  EXPECT_EQ(cut(Interruption::unsent, ErrorCode::no_error), Outcome::connect_failed);
+  EXPECT_EQ(cut(Interruption::refused_stream, ErrorCode::refused_stream), Outcome::full);
+  EXPECT_EQ(cut(Interruption::goaway, ErrorCode::no_error), Outcome::not_sent);
+  EXPECT_EQ(cut(Interruption::goaway, ErrorCode::enhance_your_calm), Outcome::full);
+  EXPECT_EQ(cut(Interruption::reset, ErrorCode::cancel), Outcome::reset);
 }
 
 TEST(Semantics, WaitsAreToldInSecondsAndAsDates) {
@@ -401,10 +403,10 @@
   // Dates count from the peer's Date field, if it sends one.
   EXPECT_EQ(parse_retry_after("Sun, 06 Nov 1994 08:49:41 GMT", "Sun, 06 Nov 1994 08:49:37 GMT", wall + 1000),
             4'000'000);
-  EXPECT_EQ(retry_after(1), "1");
-  EXPECT_EQ(retry_after(2'000'001), "3");
+  EXPECT_EQ(format_retry_after(1), "1");
+  EXPECT_EQ(format_retry_after(2'000'001), "3");
   // A wait counts whatever the status.
-  EXPECT_EQ(ending_of_response({{":status", "500"}, {"retry-after", "2"}}, {}, 0).told_wait, 2'000'000);
+  EXPECT_EQ(result_of_response({{":status", "500"}, {"retry-after", "2"}}, {}, 0).told_wait, 2'000'000);
 }
 
 TEST(Semantics, Targets) {
--- a/tests/delivery_test.cpp
+++ b/tests/delivery_test.cpp
@@ -43,12 +43,12 @@
   EXPECT_TRUE(
       engine::step(State::draining, Input::drain).arm_deadline);  // a second drain may only shorten the first
   EXPECT_TRUE(engine::step(State::running, Input::stop).end_all);
-  EXPECT_TRUE(engine::step(State::running, Input::stop).stop_taking);
-  EXPECT_FALSE(engine::takes(State::draining));
+  EXPECT_TRUE(engine::step(State::running, Input::stop).stop_accepting);
+  EXPECT_FALSE(engine::accepts_submissions(State::draining));
 }
 
 struct Fixture {
-  Standins standins;
+  StandinThread standins;
   std::unique_ptr<Engine> engine;
   explicit Fixture(Options options = {}, const std::string& more = "") {
     standins.add("d", "");
@@ -251,7 +251,7 @@
 // The tickets of a process that was killed are answered by the next process that opens its journal, each
 // exactly once.
 TEST(Delivery, TicketsOfAKilledRunAreAnsweredByTheNext) {
-  Standins standins;
+  StandinThread standins;
   standins.add("d", "");
   standins.add("mute", "silent");
   standins.start();
@@ -319,7 +319,7 @@
 // 64 threads submit while the engine is stopped or drained at a random moment, in several rounds. The last
 // round is drained near its end.
 TEST(Delivery, StressFromManyThreads) {
-  Standins standins;
+  StandinThread standins;
   for (int i = 0; i < 20; i++) standins.add("d" + std::to_string(i), "");
   standins.start();
   const auto file = standins.settings_file();
@@ -388,7 +388,7 @@
 
 // Submissions race with a stop or drain, in many rounds: each accepted ticket is answered exactly once.
 TEST(Delivery, RandomShutdowns) {
-  Standins standins;
+  StandinThread standins;
   standins.add("d", ""), standins.add("mute", "silent");
   standins.start();
   const auto file = standins.settings_file();
--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -12,7 +12,7 @@
 std::optional<Outcome> serve(const Sent&) { return Outcome::served; }
 
 // The waits between outcome and next attempt of one message that fails repeatedly.
-std::vector<Time> waits(Relay& r, int tries, Outcome o) {
+std::vector<Time> waits(DispatcherHarness& r, int tries, Outcome o) {
   std::vector<Time> w;
   const auto id = r.arrive(kSafe, 1, "", 60 * kS);
   for (int i = 0; i < tries; i++) {
@@ -28,7 +28,7 @@
 TEST(Delay, GrowsByAStepAndIsJittered) {
   std::set<Time> firsts;
   for (std::uint64_t seed = 1; seed <= 8; seed++) {
-    Relay r(plain(), seed);
+    DispatcherHarness r(default_settings(), seed);
     r.list({{.id = "a", .destination = 1}});
     const auto w = waits(r, 2, Outcome::error);
     EXPECT_GE(w[0], 150 * kMs - 5 * kMs);  // 0.2 s minus the jitter
@@ -39,7 +39,7 @@
   EXPECT_GT(firsts.size(), 3u);
 }
 TEST(Delay, FailuresToldInOneRoundAreOneStep) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}});
   const auto a = r.arrive(kSafe), b = r.arrive(kSafe);
   r.round({r.ending(a, Outcome::error), r.ending(b, Outcome::error)});
@@ -48,7 +48,7 @@
   EXPECT_GE(r.sends_of(a) + r.sends_of(b), 3);  // the initial delay, without a further increase
 }
 TEST(Delay, FirstTriesSkipIt) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}});
   const auto a = r.arrive(kSafe);
   r.end(a, Outcome::error);
@@ -56,7 +56,7 @@
   EXPECT_EQ(r.sends_of(b), 1);
 }
 TEST(Delay, ARetryThatWouldComeTooLateEndsAtOnce) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}});
   const auto a = r.arrive(kSafe, 1, "", 250 * kMs);
   r.run_to(r.now + 150 * kMs);
@@ -65,20 +65,20 @@
 }
 
 TEST(Pace, UnboundedUntilTheFirstRefusal) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}});
-  r.live(5 * kS, 20, kSafe, 1, serve);
+  r.run_load(5 * kS, 20, kSafe, 1, serve);
   EXPECT_GE(r.sends_between(r.now - 4 * kS, r.now), 76);
 }
 TEST(Pace, RefusalsFadeAtALimit) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}});
   // The endpoint accepts ten calls a second and gets twenty.
   double room = 3;
   Time last = r.now;
   int refused = 0, late_refused = 0;
   const Time from = r.now;
-  r.live(20 * kS, 20, kSafe, 1, [&](const Sent&) -> std::optional<Outcome> {
+  r.run_load(20 * kS, 20, kSafe, 1, [&](const Sent&) -> std::optional<Outcome> {
     room = std::min(3.0, room + 10 * static_cast<double>(r.now - last) / kS);
     last = r.now;
     if (room >= 1) return room -= 1, Outcome::served;
@@ -92,7 +92,7 @@
 }
 
 TEST(Bulkhead, ASilentEndpointCannotHoldTheSlotsOfOthers) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 2}});
   for (int i = 0; i < 40; i++) r.arrive(kSafe, 1);
   r.run_to(r.now + 600 * kMs);
@@ -102,18 +102,18 @@
   EXPECT_LE(r.out.size(), 9u);
 }
 TEST(Bulkhead, SlotsAreNeverExceeded) {
-  auto s = plain();
+  auto s = default_settings();
   s.slots = 3;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 2}, {.id = "c", .destination = 3}});
   for (int i = 0; i < 9; i++) r.arrive(kSafe, 1 + i % 3);
   EXPECT_EQ(r.out.size(), 3u);
 }
 TEST(Bundles, ShareOneCallAndOneSlot) {
-  auto s = plain();
+  auto s = default_settings();
   s.slots = 1;
   s.kinds[0].bundle_max = 4;
-  Relay r(s);
+  DispatcherHarness r(s);
   std::vector<Event> events;
   event::ListWhole list;
   list.endpoints = {{.id = "a", .destination = 1}};
@@ -127,9 +127,9 @@
   EXPECT_EQ(r.out.size(), 4u);  // one call with four messages occupies the only slot
 }
 TEST(Bundles, ShrinkWhenCallsFail) {
-  auto s = plain();
+  auto s = default_settings();
   s.kinds[0].bundle_max = 8;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}});
   const auto burst = [&] {
     std::vector<Event> events;
@@ -158,14 +158,14 @@
   EXPECT_LE(r.out.size(), 4u);  // two calls with two messages each
 }
 TEST(GiveUp, ACallThatLaterOnesOvertookIsCancelled) {
-  auto s = plain();
+  auto s = default_settings();
   s.cancelling = true;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}});
-  r.live(3 * kS, 10, kSafe, 1, serve);
+  r.run_load(3 * kS, 10, kSafe, 1, serve);
   r.run_to(r.now + 500 * kMs);
   const auto lost = r.arrive(kSafe);
-  r.live(2 * kS, 10, kSafe, 1, [&](const Sent& sent) -> std::optional<Outcome> {
+  r.run_load(2 * kS, 10, kSafe, 1, [&](const Sent& sent) -> std::optional<Outcome> {
     if (sent.id == lost) return std::nullopt;
     return Outcome::served;
   });
@@ -175,10 +175,10 @@
   EXPECT_EQ(r.sends_of(lost), 2);  // and another attempt is made
 }
 TEST(GiveUp, OverdueCallsFreeTheSlotsThatOthersNeed) {
-  auto s = plain();
+  auto s = default_settings();
   s.cancelling = true;
   s.slots = 3;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 2}, {.id = "c", .destination = 3}});
   for (int i = 0; i < 3; i++) r.arrive(kSafe, 1);
   for (int i = 0; i < 3; i++) r.arrive(kUnsafe, 2);
@@ -188,10 +188,10 @@
   EXPECT_GE(r.cancelled.size(), 3u);
 }
 TEST(GiveUp, CallsAtASlowEndpointThatStillAnswersAreKept) {
-  auto s = plain();
+  auto s = default_settings();
   s.cancelling = true;
   s.slots = 3;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 2}});
   const auto early = r.arrive(kSafe, 1);
   r.run_to(r.now + 900 * kMs);
@@ -203,9 +203,9 @@
   EXPECT_EQ(r.cancelled.count(late), 0u);
 }
 TEST(Bulkhead, TrialsOfManySilentEndpointsHoldAPartOfTheSlots) {
-  auto s = plain();
+  auto s = default_settings();
   s.slots = 8, s.cold = 300 * kS;  // long enough that no outage expires
-  Relay r(s);
+  DispatcherHarness r(s);
   std::vector<Endpoint> endpoints;
   for (int d = 1; d <= 12; d++) endpoints.push_back({.id = std::to_string(d), .destination = d});
   r.list(endpoints);
@@ -222,26 +222,26 @@
   EXPECT_LE(r.out.size(), 2u);
 }
 TEST(Shut, ThePaceCutByItsRefusalsRecovers) {
-  auto s = plain();
+  auto s = default_settings();
   s.cold = 4 * kS;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}});
-  r.live(10 * kS, 20, kSafe, 1, serve);
-  r.live(10 * kS, 20, kSafe, 1, [](const Sent&) -> std::optional<Outcome> { return Outcome::full; });
-  r.live(8 * kS, 20, kSafe, 1, serve);
+  r.run_load(10 * kS, 20, kSafe, 1, serve);
+  r.run_load(10 * kS, 20, kSafe, 1, [](const Sent&) -> std::optional<Outcome> { return Outcome::full; });
+  r.run_load(8 * kS, 20, kSafe, 1, serve);
   EXPECT_GE(r.sends_between(r.now - 2 * kS, r.now), 30);
 }
 TEST(Shut, TrialsOfManyRelaysDoNotAddUp) {
-  auto s = plain();
+  auto s = default_settings();
   s.relays = 200, s.fall_multiple = 2, s.cold_from = 0.2, s.cold = 10 * kS;
   std::size_t trials = 0, asked = 0;
   for (std::uint64_t seed = 1; seed <= 40; seed++) {  // each relay makes a call every five seconds
-    Relay r(s, seed);
+    DispatcherHarness r(s, seed);
     r.list({{.id = "a", .destination = 1}});
-    r.live(30 * kS, 0.2, kUnsafe, 1, serve);
-    r.live(5 * kS, 0.2, kUnsafe, 1, [](const Sent&) { return std::optional(Outcome::connect_failed); });
+    r.run_load(30 * kS, 0.2, kUnsafe, 1, serve);
+    r.run_load(5 * kS, 0.2, kUnsafe, 1, [](const Sent&) { return std::optional(Outcome::connect_failed); });
     const auto before = r.sent.size();
-    r.live(15 * kS, 0.2, kUnsafe, 1, [](const Sent&) { return std::optional(Outcome::connect_failed); });
+    r.run_load(15 * kS, 0.2, kUnsafe, 1, [](const Sent&) { return std::optional(Outcome::connect_failed); });
     trials += r.sent.size() - before, asked += 3;
   }
   EXPECT_GT(trials, asked / 10);  // they do make trial calls,
@@ -249,11 +249,11 @@
 }
 TEST(Shut, OneProvableFailureClosesWhereCallsAreRareOneErrorDoesNot) {
   for (auto o : {Outcome::connect_failed, Outcome::error}) {
-    auto s = plain();
+    auto s = default_settings();
     s.relays = 200;
-    Relay r(s);
+    DispatcherHarness r(s);
     r.list({{.id = "a", .destination = 1}});
-    r.live(60 * kS, 0.05, kSafe, 1, serve);
+    r.run_load(60 * kS, 0.05, kSafe, 1, serve);
     r.end(r.arrive(kSafe), o);
     const auto next = r.arrive(kUnsafe);
     EXPECT_EQ(r.sends_of(next), o == Outcome::error ? 1 : 0);
@@ -263,24 +263,24 @@
 // for them were held until their deadline. Broken connections alone must not close an endpoint that still
 // serves.
 TEST(Shut, BrokenConnectionsCloseNoSoundEndpointButADeadOne) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}});
-  r.live(10 * kS, 20, kSafe, 1, serve);
+  r.run_load(10 * kS, 20, kSafe, 1, serve);
   const Time at = r.now;
   int n = 0;
-  r.live(20 * kS, 20, kSafe, 1,
-         [&](const Sent&) { return std::optional(n++ % 8 < 3 ? Outcome::reset : Outcome::served); });
+  r.run_load(20 * kS, 20, kSafe, 1,
+             [&](const Sent&) { return std::optional(n++ % 8 < 3 ? Outcome::reset : Outcome::served); });
   for (Time t = at; t < r.now; t += 1 * kS) EXPECT_GE(r.sends_between(t, t + 1 * kS), 15);
-  r.live(2 * kS, 20, kSafe, 1, [](const Sent&) { return std::optional(Outcome::reset); });
+  r.run_load(2 * kS, 20, kSafe, 1, [](const Sent&) { return std::optional(Outcome::reset); });
   const Time dead = r.now;
-  r.live(2 * kS, 20, kSafe, 1, [](const Sent&) { return std::optional(Outcome::reset); });
+  r.run_load(2 * kS, 20, kSafe, 1, [](const Sent&) { return std::optional(Outcome::reset); });
   EXPECT_LE(r.sends_between(dead, r.now), 8);
 }
 TEST(Shut, AnEndpointListedAnewSharesItsSiblingsState) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}});
-  r.live(10 * kS, 10, kSafe, 1, serve);
-  r.live(4 * kS, 10, kSafe, 1, [](const Sent&) { return std::optional(Outcome::connect_failed); });
+  r.run_load(10 * kS, 10, kSafe, 1, serve);
+  r.run_load(4 * kS, 10, kSafe, 1, [](const Sent&) { return std::optional(Outcome::connect_failed); });
   const Time at = r.now;
   r.change({.id = "b", .destination = 1});
   r.run_to(at + 1 * kS);
@@ -292,9 +292,9 @@
 TEST(Hold, ARefusalOfARareRelayHoldsTheTargetLongerEachTime) {
   Time first = 0, second = 0;
   for (std::uint64_t seed = 1; seed <= 20; seed++) {
-    auto s = plain();
+    auto s = default_settings();
     s.relays = 300;
-    Relay r(s, seed);
+    DispatcherHarness r(s, seed);
     r.list({{.id = "a", .destination = 1}});
     r.end(r.arrive(kUnsafe), Outcome::full);
     r.arrive(kUnsafe);
@@ -312,9 +312,9 @@
   EXPECT_GT(second, 3 * first / 2);
 }
 TEST(Hold, AServeEndsIt) {
-  auto s = plain();
+  auto s = default_settings();
   s.relays = 300;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}});
   const auto early = r.arrive(kSafe);
   r.end(r.arrive(kSafe), Outcome::full);
@@ -327,11 +327,11 @@
 // then.
 TEST(Shut, RelaysToldOfTheOpeningDoNotAllComeThen) {
   for (const bool apart : {false, true}) {
-    auto s = plain();
+    auto s = default_settings();
     s.relays = 200, s.fall_multiple = 2, s.cold_from = 0.2, s.cold = 10 * kS, s.kinds[0].routes_apart = apart;
     int soon = 0;
     for (std::uint64_t seed = 1; seed <= 60; seed++) {
-      Relay r(s, seed);
+      DispatcherHarness r(s, seed);
       r.list({{.id = "a", .destination = 1}});
       r.run_to(r.now + 40 * kS);  // so its rate is about a call a minute
       const auto id = r.arrive(kUnsafe);
@@ -348,10 +348,10 @@
 // A message that can't be sent in time any more is answered in that round instead of being held until its
 // deadline.
 TEST(GivenUp, AToldWaitPastTheLastSendIsAnsweredAtOnce) {
-  auto s = plain();
+  auto s = default_settings();
   s.retry_after_max = 2 * kS;
   for (const auto c : {kSafe, kUnsafe, kKeyed}) {
-    Relay r(s);
+    DispatcherHarness r(s);
     r.list({{.id = "a", .destination = 1}});
     const auto other = r.arrive(c, 1, "", 5 * kS);  // not affected: its call is in flight
     const auto id = r.arrive(c, 1, "", 4 * kS);
@@ -365,9 +365,9 @@
 }
 TEST(GivenUp, AHoldPastTheLastSendIsAnsweredAtOnceUnlessACallIsOutThere) {
   for (const bool out : {false, true}) {
-    auto s = plain();
+    auto s = default_settings();
     s.relays = 300, s.retry_after_max = 2 * kS;
-    Relay r(s);
+    DispatcherHarness r(s);
     r.list({{.id = "a", .destination = 1}});
     if (out) r.arrive(kUnsafe);  // if it is served, the hold ends
     const auto id = r.arrive(kSafe, 1, "", 500 * kMs);
@@ -377,11 +377,11 @@
   }
 }
 TEST(GivenUp, AttemptsUsedUpOrUnsafeInDoubtAreAnsweredAtOnce) {
-  auto s = plain();
+  auto s = default_settings();
   s.attempts_max = 1;
   for (const auto c : {kSafe, kUnsafe}) {
     for (const auto o : {Outcome::connect_failed, Outcome::timeout}) {
-      Relay r(s);
+      DispatcherHarness r(s);
       r.list({{.id = "a", .destination = 1}});
       const auto id = r.arrive(c);
       r.end(id, o);
@@ -392,10 +392,10 @@
   }
 }
 TEST(GivenUp, IsFailedWhereARefusedCallCostsMoreThanItIsWorth) {
-  auto s = plain();
+  auto s = default_settings();
   s.attempts_max = 1, s.refused_price = 0.4;
   for (const Time left : {5500 * kMs, 2000 * kMs}) {  // before its aim; late, so worth little
-    Relay r(s);
+    DispatcherHarness r(s);
     r.list({{.id = "a", .destination = 1}});
     const auto id = r.arrive(kSafe, 1, "", left);
     r.end(id, Outcome::full);
@@ -405,7 +405,7 @@
 }
 // If one class fails at one endpoint, the siblings get that class, and the endpoint keeps getting the others.
 TEST(Classes, OneThatFailsAtAnEndpointGoesToItsSiblings) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}});
   const auto answer = [](const Sent& sent) -> std::optional<Outcome> {
     return sent.endpoint == "a" && sent.id % 2 == 0 ? Outcome::error : Outcome::served;
@@ -420,13 +420,13 @@
   EXPECT_LE(failing, 6);
 }
 TEST(Notes, RefusalsToldByOthersHoldAttemptsBackForAWhile) {
-  auto s = plain();
+  auto s = default_settings();
   s.relays = 300, s.peers = true;
   std::size_t told_sends = 0, quiet_sends = 0;
   int back = 0;
   for (std::uint64_t seed = 1; seed <= 20; seed++) {
     for (const bool told : {false, true}) {
-      Relay r(s, seed);
+      DispatcherHarness r(s, seed);
       std::vector<Endpoint> endpoints = {{.id = "a", .destination = 1}};
       for (int d = 2; d < 22; d++) endpoints.push_back({.id = std::to_string(d), .destination = d});
       r.list(endpoints);
@@ -454,13 +454,13 @@
 }
 TEST(Notes, AreSentOnRefusalsOnlyWhereAllowedAndNotMoreThanOneAWhile) {
   for (const bool peers : {false, true}) {
-    auto s = plain();
+    auto s = default_settings();
     s.relays = 300, s.peers = peers;
-    Relay r(s);
+    DispatcherHarness r(s);
     r.list({{.id = "a", .destination = 1}});
     for (int i = 0; i < 12; i++) {
-      r.live(2 * kS, 5, kSafe, 1, [](const Sent&) { return std::optional(Outcome::full); });
-      r.live(8 * kS, 1, kSafe, 1, serve);
+      r.run_load(2 * kS, 5, kSafe, 1, [](const Sent&) { return std::optional(Outcome::full); });
+      r.run_load(8 * kS, 1, kSafe, 1, serve);
     }
     EXPECT_EQ(r.notes.size() >= 2, peers);
     EXPECT_EQ(r.notes.empty(), !peers);
@@ -470,21 +470,21 @@
   }
 }
 TEST(Notes, ThatMakeNoSenseAreIgnored) {
-  auto s = plain();
+  auto s = default_settings();
   s.peers = true;
-  Relay r(s), same(s);
+  DispatcherHarness r(s), same(s);
   for (auto* one : {&r, &same}) one->list({{.id = "a", .destination = 1}});
   for (const std::string body : {"", "1", "1r", "2ra", "1rnowhere", "1qa", "ra"})
     r.round({event::PeerNote{99, body}});
   r.round({event::PeerNote{-3, std::string(4000, '\xff')}, event::PeerNote{0, std::string("1ra\0", 4)}});
-  for (auto* one : {&r, &same}) one->live(5 * kS, 10, kSafe, 1, serve);
+  for (auto* one : {&r, &same}) one->run_load(5 * kS, 10, kSafe, 1, serve);
   ASSERT_EQ(r.sent.size(), same.sent.size());
   for (std::size_t i = 0; i < r.sent.size(); i++) EXPECT_EQ(r.sent[i].at, same.sent[i].at);
 }
 TEST(Worth, TheDearerMessageGoesFirst) {
-  auto s = plain();
+  auto s = default_settings();
   s.slots = 1;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}});
   const auto first = r.arrive(kSafe);
   const auto cheap = r.arrive(kSafe), dear = r.arrive(kUnsafe);
@@ -493,10 +493,10 @@
   EXPECT_EQ(r.sends_of(cheap), 0);
 }
 TEST(Worth, AFullBufferHandsBackTheLeast) {
-  auto s = plain();
+  auto s = default_settings();
   s.open_max = 10;
   s.slots = 1;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}});
   std::vector<MessageId> dear;
   for (int i = 0; i < 5; i++) dear.push_back(r.arrive(kUnsafe));
@@ -510,13 +510,13 @@
 TEST(Connections, ThoseHardlyUsedAgainAreClosedWhereIdleOnesAreDistrusted) {
   enum { nothing, full_table, died_unseen };
   for (const int sign : {nothing, full_table, died_unseen}) {
-    auto s = plain();
+    auto s = default_settings();
     s.connection_idle = 20 * kS, s.relays = 50;
-    Relay r(s);
+    DispatcherHarness r(s);
     r.list({{.id = "rare", .destination = 1},
             {.id = "busy", .destination = 2},
             {.id = "odd", .destination = 3}});
-    r.live(30 * kS, 5, kSafe, 2, serve);
+    r.run_load(30 * kS, 5, kSafe, 2, serve);
     r.end(r.arrive(kSafe, 3), Outcome::served);
     r.run_to(r.now + 5 * kS);
     const auto lost = r.arrive(kUnsafe, 3);
@@ -537,48 +537,48 @@
 }
 
 TEST(List, IsAskedForAgainWithBackoff) {
-  auto s = plain();
+  auto s = default_settings();
   s.subscribe = true;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.round({event::ListWhole{{}, true}});
-  ASSERT_EQ(r.asked.size(), 1u);
+  ASSERT_EQ(r.subscribe_times.size(), 1u);
   for (int i = 0; i < 6; i++) {
-    const auto n = r.asked.size();
+    const auto n = r.subscribe_times.size();
     r.round({event::ListFailed{}});
     r.run_to(r.now + 6 * kS);
-    EXPECT_EQ(r.asked.size(), n + 1);
+    EXPECT_EQ(r.subscribe_times.size(), n + 1);
   }
-  EXPECT_GT(r.asked[4] - r.asked[3], 0);
+  EXPECT_GT(r.subscribe_times[4] - r.subscribe_times[3], 0);
   r.list({{.id = "a", .destination = 1}});
-  const auto n = r.asked.size();
+  const auto n = r.subscribe_times.size();
   r.run_to(r.now + 20 * kS);
-  EXPECT_EQ(r.asked.size(), n);
+  EXPECT_EQ(r.subscribe_times.size(), n);
 }
 // Changes missed by a failed list call count as received 6 s after discovery can be reached again. A call
 // made just before that may take 2 s to fail, and the next one 2 s to be answered, so at most 2 s may lie
 // between them.
 TEST(List, HoweverOftenItFailedItIsAskedForWithinTwoSeconds) {
-  auto s = plain();
+  auto s = default_settings();
   s.subscribe = true;
   for (std::uint64_t seed = 1; seed <= 20; seed++) {
-    Relay r(s, seed);
+    DispatcherHarness r(s, seed);
     r.round({event::ListWhole{{}, true}});
     for (int i = 0; i < 12; i++) {
-      const auto n = r.asked.size();
+      const auto n = r.subscribe_times.size();
       r.round({event::ListFailed{}});
       const Time failed = r.now;
       r.run_to(r.now + 6 * kS);
-      ASSERT_EQ(r.asked.size(), n + 1);
-      EXPECT_LE(r.asked.back() - failed, 2 * kS + 20 * kMs);
+      ASSERT_EQ(r.subscribe_times.size(), n + 1);
+      EXPECT_LE(r.subscribe_times.back() - failed, 2 * kS + 20 * kMs);
     }
   }
 }
 // An endpoint of a kind that is not in the settings must not get the settings of the first kind.
 TEST(List, AnUnknownKindIsNotTheFirst) {
-  auto s = plain();
+  auto s = default_settings();
   s.kinds.resize(1), s.kinds[0].bundle_max = 4, s.slots = 1;
   for (const int kind : {0, -1}) {
-    Relay r(s);
+    DispatcherHarness r(s);
     event::ListWhole list;
     list.endpoints = {{.id = "a", .destination = 1, .kind = kind}};
     std::vector<Event> events = {list};
@@ -592,9 +592,9 @@
   }
 }
 TEST(List, TheOldOneServesWhileItIsOutOfReach) {
-  auto s = plain();
+  auto s = default_settings();
   s.subscribe = true;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.round({event::ListWhole{{{.id = "a", .destination = 1}}, true}});
   r.round({event::ListFailed{}});
   const auto id = r.arrive(kSafe);
@@ -602,9 +602,9 @@
 }
 
 TEST(Memory, NothingIsKeptForEver) {
-  auto s = plain();
+  auto s = default_settings();
   s.classes[kSafe].ordered = true, s.settle_after_doubt = 700 * kMs;
-  Relay r(s);
+  DispatcherHarness r(s);
   std::size_t most = 0;
   for (int i = 1; i <= 5000; i++) {  // each with its own endpoint, destination and order key
     Endpoint e{.id = std::to_string(i), .destination = i};
@@ -625,7 +625,7 @@
   EXPECT_LE(r.kept(), 2u);
 }
 TEST(Memory, CallsOutToAGoneEndpointEndWell) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}});
   const auto served = r.arrive(kSafe), lost = r.arrive(kUnsafe), refused = r.arrive(kSafe);
   r.list({{.id = "b", .destination = 2}});  // "a" leaves the list with three calls in flight
@@ -644,7 +644,7 @@
 }
 
 TEST(Odd, EventsForWhatIsOverOrUnknownAreIgnored) {
-  Relay r;
+  DispatcherHarness r;
   r.round({});
   r.round({event::Withdrawn{77}, event::TimerDue{5}, event::AttemptEnded{}, event::ProbeEnded{},
            event::PeerNote{}});
@@ -660,7 +660,7 @@
 }
 TEST(Settings, ThatMakeNoSenseAreNamed) {
   const auto complaint = [](auto change) {
-    auto s = plain();
+    auto s = default_settings();
     change(s);
     try {
       Dispatcher d(s, 1);
@@ -677,10 +677,10 @@
 }
 TEST(Determinism, EqualSeedsActAlike) {
   const auto play = [](std::uint64_t seed) {
-    Relay r(plain(), seed);
+    DispatcherHarness r(default_settings(), seed);
     r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}});
     int n = 0;
-    r.live(10 * kS, 15, kSafe, 1, [&](const Sent&) -> std::optional<Outcome> {
+    r.run_load(10 * kS, 15, kSafe, 1, [&](const Sent&) -> std::optional<Outcome> {
       return ++n % 4 == 0 ? Outcome::error : n % 7 == 0 ? Outcome::full : Outcome::served;
     });
     std::vector<std::pair<MessageId, Time>> sends;
--- a/tests/esme.hpp
+++ b/tests/esme.hpp
@@ -11,7 +11,7 @@
  public:
   Esme(loop::Loop& loop, const std::string& address, const std::string& system_id = "bank",
        const std::string& password = "secret", smpp::Command how = smpp::Command::bind_transceiver)
-      : loop_(loop), session(smpp::Role::esme, wide(), loop.now()) {
+      : loop_(loop), session(smpp::Role::esme, session_settings(), loop.now()) {
     stream = std::make_unique<net::TcpStream>(
         loop, net::Address::parse(address), 5 * kS,
         net::Stream::Handlers{.connected =
@@ -23,7 +23,7 @@
                                   [this](std::string_view b) {
                                     std::vector<smpp::Event> events;
                                     session.receive(loop_.now(), b, events);
-                                    for (auto& e : events) take(e);
+                                    for (auto& e : events) on_event(e);
                                     flush();
                                   },
                               .drained = {},
@@ -37,7 +37,7 @@
     smpp::Message m;
     m.destination = to[0] == '+' ? smpp::Address{1, 1, to.substr(1)} : smpp::Address{5, 0, to};
     m.source = {1, 1, "255700"}, m.service_type = type, m.text = text, m.registered_delivery = 1;
-    m.validity = sms::relative_time(5 * kS);
+    m.validity = sms::format_relative_time(5 * kS);
     return m;
   }
   std::uint32_t submit(smpp::Message m, smpp::Command how = smpp::Command::submit_sm) {
@@ -45,31 +45,32 @@
     flush();
     return n;
   }
-  std::uint32_t ask(smpp::Command command, smpp::Body body) {
+  std::uint32_t send_request(smpp::Command command, smpp::Body body) {
     const auto n = session.request(loop_.now(), command, std::move(body));
     flush();
     return n;
   }
-  void take(smpp::Event& e) {
+  void on_event(smpp::Event& e) {
     using Type = smpp::Event::Type;
     if (e.type == Type::response) {
       responses[e.pdu.sequence] = e.pdu;
-      if (const auto* r = std::get_if<smpp::MessageResp>(&e.pdu.body)) ids[e.pdu.sequence] = r->message_id;
+      if (const auto* r = std::get_if<smpp::MessageResp>(&e.pdu.body))
+        message_ids[e.pdu.sequence] = r->message_id;
     } else if (e.type == Type::refused) {
       refused = e.pdu.status;
     } else if (e.type == Type::request) {
       const auto& m = std::get<smpp::Message>(e.pdu.body);
       deliveries.push_back(m);
-      if (const auto says = sms::read_receipt(m); says && answer == smpp::status::ok)
+      if (const auto says = sms::parse_receipt(m); says && receipt_status == smpp::status::ok)
         receipts[says->message_id].push_back(*says);
-      if (answers) session.respond(e.pdu, answer, smpp::MessageResp{});
+      if (answer_receipts) session.respond(e.pdu, receipt_status, smpp::MessageResp{});
     } else if (e.type == Type::unbind) {
       unbound = true;
     }
   }
   smpp::Status status(std::uint32_t n) const { return responses.at(n).status; }
-  int state(std::uint32_t n) const {  // message_state of its receipt; 0: no receipt, -1: several
-    const auto it = receipts.find(ids.at(n));
+  int receipt_state(std::uint32_t n) const {  // message_state of its receipt; 0: no receipt, -1: several
+    const auto it = receipts.find(message_ids.at(n));
     return it == receipts.end() ? 0 : it->second.size() > 1 ? -1 : it->second[0].state;
   }
 
@@ -77,14 +78,14 @@
   smpp::Session session;
   std::unique_ptr<net::Stream> stream;
   std::map<std::uint32_t, smpp::Pdu> responses;
-  std::map<std::uint32_t, std::string> ids;
-  std::map<std::string, std::vector<sms::ReceiptSays>> receipts;
+  std::map<std::uint32_t, std::string> message_ids;
+  std::map<std::string, std::vector<sms::ReceiptFields>> receipts;
   std::vector<smpp::Message> deliveries;
-  smpp::Status refused = 0, answer = smpp::status::ok;
-  bool closed = false, answers = true, unbound = false;
+  smpp::Status refused = 0, receipt_status = smpp::status::ok;
+  bool closed = false, answer_receipts = true, unbound = false;
 
  private:
-  static smpp::SessionSettings wide() {
+  static smpp::SessionSettings session_settings() {
     smpp::SessionSettings s;
     s.window = 10'000;
     return s;
--- a/tests/event_log_test.cpp
+++ b/tests/event_log_test.cpp
@@ -13,7 +13,7 @@
   const auto begun = loop::monotonic_now() / 1'000'000;
   for (int i = 0; i < 10'000; i++)
     log.line(Event::attempt, [&] { return formatted++, std::string("an attempt"); });
-  log.say(Event::journal, "something once");
+  log.log_text(Event::journal, "something once");
   const int seconds = static_cast<int>(loop::monotonic_now() / 1'000'000 - begun) + 1;
   EXPECT_GE(lines["attempt"], EventLog::kLinesPerSecond);
   EXPECT_LE(lines["attempt"], EventLog::kLinesPerSecond * seconds);
@@ -41,7 +41,7 @@
   ASSERT_EQ(left_out.size(), 1u);
   EXPECT_NE(left_out[0].find(" lines of ended m-"), std::string::npos) << left_out[0];
   EXPECT_NE((left_out[0] + " ").find(" m-" + std::to_string(lines - 1) + " "), std::string::npos);
-  EXPECT_LT(left_out[0].size(), EventLog::kIdsLeftOut + 64);
+  EXPECT_LT(left_out[0].size(), EventLog::kMaxSuppressedIdBytes + 64);
 }
 
 }  // namespace
--- a/tests/faults/control.hpp
+++ b/tests/faults/control.hpp
@@ -11,21 +11,22 @@
 
 namespace cedarplank::testing::faults {
 
-constexpr const char* kControlFile = "CEDARPLANK_FAULTS";  // environment variable with the path of the file
+constexpr const char* kControlFileVariable =
+    "CEDARPLANK_FAULTS";  // environment variable with the path of the file
 
 struct Control {
   // errno values for calls on the journal folder.
   std::atomic<int> write_error, create_error, allocate_error, rename_error, remove_error, read_error;
-  std::atomic<int> write_part;     // bytes that the first failing write still writes
-  std::atomic<int> kill_in_write;  // n > 0: the next write writes n - 1 bytes, then SIGKILL
+  std::atomic<int> partial_write_bytes;  // bytes that the first failing write still writes
+  std::atomic<int> kill_in_write;        // n > 0: the next write writes n - 1 bytes, then SIGKILL
   // errno values for calls on sockets.
   std::atomic<int> accept_error, socket_error, connect_error;
-  std::atomic<int> receive_error, receive_error_each;  // every n-th socket read fails with receive_error
-  std::atomic<int> interrupt_polls;                    // every other poll(2) fails with EINTR
-  std::atomic<int> short_io;                           // maximum bytes per socket read or write
-  std::atomic<std::int64_t> wall_shift;                // us added to the wall clock
-  std::atomic<int> hide_boot_id;                       // opening the boot id file fails with ENFILE
-  std::atomic<std::uint64_t> hits;                     // calls made to fail so far
+  std::atomic<int> receive_error, receive_error_interval;  // every n-th socket read fails with receive_error
+  std::atomic<int> interrupt_polls;                        // every other poll(2) fails with EINTR
+  std::atomic<int> max_io_bytes;                           // maximum bytes per socket read or write
+  std::atomic<std::int64_t> wall_clock_offset;             // us added to the wall clock
+  std::atomic<int> hide_boot_id;                           // opening the boot id file fails with ENFILE
+  std::atomic<std::uint64_t> injected_failures;            // calls made to fail so far
 };
 
 // Maps the control file, creating it if asked to. Returns null where the file cannot be mapped.
