--- a/tests/faults/fleet.cpp
+++ b/tests/faults/fleet.cpp
@@ -47,25 +47,26 @@
 Fleet::Fleet(FleetSettings settings) : random(settings.seed), settings_(std::move(settings)) {
   char name[] = "/tmp/fault-fleet-XXXXXX";
   folder_ = mkdtemp(name);
-  judge.began = loop.now();
-  discovery_ = std::make_unique<Server>(loop, [this](const http1::Message& m, int) { return discovery(m); });
+  checker.started_at = loop.now();
+  discovery_ = std::make_unique<Server>(
+      loop, [this](const http1::Message& m, int) { return handle_discovery_request(m); });
   for (int d = 0; d < settings_.destinations; d++)
-    for (int e = 0; e < settings_.endpoints_each; e++) {
+    for (int e = 0; e < settings_.endpoints_per_destination; e++) {
       const std::string id = "s-" + std::to_string(d) + "-" + std::to_string(e);
       Endpoint& endpoint = endpoints_[id];
       endpoint.destination = kFirstGroup + d;
       endpoint.server = std::make_unique<Server>(
-          loop, [this, id](const http1::Message& m, int n) { return called(id, m, n); });
+          loop, [this, id](const http1::Message& m, int n) { return handle_call(id, m, n); });
       if (settings_.proxied)
         endpoint.proxy = std::make_unique<Proxy>(loop, endpoint.server->address(), [this, id] {
           const Time held = proxy_delay(), now = loop::monotonic_now();
-          if (held > 0) judge.holds.push_back({id, now, now + held});
+          if (held > 0) checker.holds.push_back({id, now, now + held});
           return held;
         });
     }
   relays_.resize(static_cast<std::size_t>(settings_.relays));
   for (int r = 0; r < settings_.relays; r++) {
-    Relay& relay = at(r);
+    Relay& relay = relay_at(r);
     relay.listen = relay_address(r);
     relay.folder = folder_ + "/state-" + std::to_string(r);
     relay.config_file = folder_ + "/config-" + std::to_string(r) + ".json";
@@ -80,7 +81,7 @@
   *alive_ = false;
   for (auto& relay : relays_) {
     relay.process.reset();
-    for (auto& link : relay.crowd) link->stream->close();
+    for (auto& link : relay.extra_connections) link->stream->close();
     for (auto& link : relay.idle) link->stream->close();
     for (auto& [raw, link] : relay.busy) link->stream->close();
     munmap(relay.control, sizeof(Control));
@@ -89,7 +90,7 @@
   std::filesystem::remove_all(folder_);
 }
 
-std::string Fleet::list() const {
+std::string Fleet::endpoint_list() const {
   std::string text = R"({"index":1,"snapshot":true,"endpoints":[)";
   bool first = true;
   for (const auto& [id, e] : endpoints_) {
@@ -102,11 +103,11 @@
   return text + "]}";
 }
 
-std::string Fleet::config(int relay) const {
+std::string Fleet::relay_config(int relay) const {
   const Relay& r = relays_[static_cast<std::size_t>(relay)];
   return R"({"name":"n)" + std::to_string(relay) + R"(","listen":")" + r.listen + R"(","discovery":")" +
          discovery_->address() + R"(","state":")" + r.folder +
-         R"(","seed":"8c1f30d27a5be964","limits":{"sockets":256,"disk_mb":3},"known":)" + list() +
+         R"(","seed":"8c1f30d27a5be964","limits":{"sockets":256,"disk_mb":3},"known":)" + endpoint_list() +
          R"(,"settings":{"Classes":[{"Name":"status","Points":1,"LateWorth":0,"Target":500000,"Deadline":)" +
          std::to_string(settings_.safe_deadline) +
          R"(,"Idempotency":"read_like"},{"Name":"order","Points":3,"LateWorth":0.3,"Target":1000000,"Deadline":)" +
@@ -125,164 +126,165 @@
 // ---- processes ----
 
 void Fleet::launch(int relay) {
-  Relay& r = at(relay);
-  std::ofstream(r.config_file) << config(relay);
+  Relay& r = relay_at(relay);
+  std::ofstream(r.config_file) << relay_config(relay);
   r.process = std::make_unique<rig::Process>(
       loop,
       std::vector<std::string>{
-          "/usr/bin/env", "LD_PRELOAD=" + settings_.library,
+          "/usr/bin/env", "LD_PRELOAD=" + settings_.fault_library,
           "ASAN_OPTIONS=verify_asan_link_order=0:" +
               std::string(getenv("ASAN_OPTIONS") == nullptr ? "" : getenv("ASAN_OPTIONS")),
-          std::string(kControlFile) + "=" + r.control_file, settings_.program, "platform", "--config",
+          std::string(kControlFileVariable) + "=" + r.control_file, settings_.program, "platform", "--config",
           r.config_file},
       [this, relay](const std::string& line) {
-        auto& log = at(relay).log;
+        auto& log = relay_at(relay).log;
         if (log.size() < kMostLog) log.push_back(line);
       });
-  r.ended_by_us = false, r.ready = false, r.launches++;
+  r.signalled_by_test = false, r.ready = false, r.launches++;
   // A refusal by an earlier process may not have been recorded (its folder failed), and the platform protocol
   // says of refused requests that "handing it in again is harmless": such an id is not repeated to the new
   // process.
   std::erase_if(ended_ids_, [&](const auto& id) {
-    const Request& request = judge.requests.at(id);
+    const Request& request = checker.requests.at(id);
     return request.relay == relay && request.ended_by == "answer 503";
   });
-  check(relay);
+  poll_process(relay);
 }
 
-void Fleet::check(int relay) {
-  Relay& r = at(relay);
+void Fleet::poll_process(int relay) {
+  Relay& r = relay_at(relay);
   if (!r.process) return;
   if (!r.process->running()) {
-    if (!r.ended_by_us)
-      judge.crashes.push_back("crash: relay " + std::to_string(relay) +
-                              " exited without a signal from the test, exit code " +
-                              std::to_string(r.process->exit_code()));
+    if (!r.signalled_by_test)
+      checker.immediate_violations.push_back("crash: relay " + std::to_string(relay) +
+                                             " exited without a signal from the test, exit code " +
+                                             std::to_string(r.process->exit_code()));
     r.process.reset();
     r.ready = false;
-    if (std::exchange(r.start_when_gone, false)) launch_later(relay);
+    if (std::exchange(r.restart_on_exit, false)) schedule_launch(relay);
     return;
   }
   if (!r.ready) {
     const auto link = connect(relay);
-    link->done = [this, relay](int status) {
-      Relay& current = at(relay);
+    link->on_status = [this, relay](int status) {
+      Relay& current = relay_at(relay);
       if (status != 200 || !current.process) return;
       current.ready = true;
-      if (current.restart > 0 && judge.restarts[current.restart - 1].ready == 0)
-        judge.restarts[current.restart - 1].ready = loop::monotonic_now();
+      if (current.restart_number > 0 && checker.restarts[current.restart_number - 1].ready == 0)
+        checker.restarts[current.restart_number - 1].ready = loop::monotonic_now();
     };
     link->stream->write("GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
   }
   loop.after(kCheckEvery, [this, relay, alive = alive_] {
-    if (*alive) check(relay);
+    if (*alive) poll_process(relay);
   });
 }
 
 bool Fleet::start(int relay) {
   launch(relay);
-  return until([&] { return at(relay).ready; }, kReadyWithin);
+  return run_until([&] { return relay_at(relay).ready; }, kReadyWithin);
 }
 
 bool Fleet::start_all() {
   for (int r = 0; r < settings_.relays; r++) launch(r);
-  return until([&] { return std::all_of(relays_.begin(), relays_.end(), [](auto& r) { return r.ready; }); },
-               kReadyWithin);
+  return run_until(
+      [&] { return std::all_of(relays_.begin(), relays_.end(), [](auto& r) { return r.ready; }); },
+      kReadyWithin);
 }
 
-void Fleet::signalled(int relay) {
-  Relay& r = at(relay);
-  r.ended_by_us = true;
+void Fleet::record_signal(int relay) {
+  Relay& r = relay_at(relay);
+  r.signalled_by_test = true;
   // Signalled again before it was ready: from now on the time to the next start counts.
-  if (r.restart > 0 && judge.restarts[r.restart - 1].ready == 0)
-    judge.restarts[r.restart - 1].ready = loop::monotonic_now();
-  judge.restarts.push_back({relay, loop::monotonic_now(), 0});
-  r.restart = judge.restarts.size();
+  if (r.restart_number > 0 && checker.restarts[r.restart_number - 1].ready == 0)
+    checker.restarts[r.restart_number - 1].ready = loop::monotonic_now();
+  checker.restarts.push_back({relay, loop::monotonic_now(), 0});
+  r.restart_number = checker.restarts.size();
 }
 
 void Fleet::kill(int relay) {
-  if (!at(relay).process) return;
-  if (!at(relay).ended_by_us) signalled(relay);
-  at(relay).process.reset();  // SIGKILL
-  at(relay).ready = false;
-  launch_later(relay);
+  if (!relay_at(relay).process) return;
+  if (!relay_at(relay).signalled_by_test) record_signal(relay);
+  relay_at(relay).process.reset();  // SIGKILL
+  relay_at(relay).ready = false;
+  schedule_launch(relay);
 }
 
 void Fleet::kill_in_write(int relay, int bytes) {
-  if (!at(relay).process || at(relay).ended_by_us) return;
-  signalled(relay);
-  at(relay).start_when_gone = true;
-  at(relay).control->kill_in_write = bytes + 1;
+  if (!relay_at(relay).process || relay_at(relay).signalled_by_test) return;
+  record_signal(relay);
+  relay_at(relay).restart_on_exit = true;
+  relay_at(relay).control->kill_in_write = bytes + 1;
 }
 
-void Fleet::launch_later(int relay) {
+void Fleet::schedule_launch(int relay) {
   loop.after(kStartAfter, [this, relay, alive = alive_] {
-    if (*alive && !at(relay).process) launch(relay);
+    if (*alive && !relay_at(relay).process) launch(relay);
   });
 }
 
 void Fleet::terminate(int relay) {
-  if (!at(relay).process || at(relay).ended_by_us) return;
-  signalled(relay);
-  at(relay).process->signal(SIGTERM);
-  loop.after(kKillAfter, [this, relay, launch = at(relay).launches, alive = alive_] {
-    if (!*alive || at(relay).launches != launch) return;  // already restarted
-    at(relay).process.reset();
-    at(relay).ready = false;
-    launch_later(relay);
+  if (!relay_at(relay).process || relay_at(relay).signalled_by_test) return;
+  record_signal(relay);
+  relay_at(relay).process->signal(SIGTERM);
+  loop.after(kKillAfter, [this, relay, launch = relay_at(relay).launches, alive = alive_] {
+    if (!*alive || relay_at(relay).launches != launch) return;  // already restarted
+    relay_at(relay).process.reset();
+    relay_at(relay).ready = false;
+    schedule_launch(relay);
   });
 }
 
-bool Fleet::until(const std::function<bool()>& condition, Time within) {
+bool Fleet::run_until(const std::function<bool()>& condition, Time within) {
   const Time end = loop::monotonic_now() + within;
   Time before = loop::monotonic_now();
   while (!condition()) {
     if (loop::monotonic_now() > end) return false;
     loop.run_once(kTurn);
     const Time now = loop::monotonic_now();
-    judge.lag = std::max(judge.lag, now - before - kTurn);
+    checker.lag = std::max(checker.lag, now - before - kTurn);
     before = now;
   }
   return true;
 }
 
 void Fleet::run(Time span) {
-  until([] { return false; }, span);
+  run_until([] { return false; }, span);
 }
 
 void Fleet::settle() {
   traffic(0);
   reply = [](const auto&, const auto&) { return Reply{}; };
   proxy_delay = [] { return Time{0}; };
-  client_break = [] { return std::nullopt; };
-  hedged = 0;
+  client_reset_after = [] { return std::nullopt; };
+  hedged_share = 0;
   discovery_up = true;
   for (auto& relay : relays_) {
     Control& c = *relay.control;
     c.write_error = c.create_error = c.allocate_error = c.rename_error = c.remove_error = c.read_error = 0;
-    c.write_part = c.kill_in_write = c.accept_error = c.socket_error = c.connect_error = 0;
-    c.receive_error = c.interrupt_polls = c.short_io = 0;
+    c.partial_write_bytes = c.kill_in_write = c.accept_error = c.socket_error = c.connect_error = 0;
+    c.receive_error = c.interrupt_polls = c.max_io_bytes = 0;
   }
-  until([&] { return std::all_of(relays_.begin(), relays_.end(), [](auto& r) { return r.ready; }); },
-        2 * kReadyWithin);
+  run_until([&] { return std::all_of(relays_.begin(), relays_.end(), [](auto& r) { return r.ready; }); },
+            2 * kReadyWithin);
   run(std::max(settings_.safe_deadline, settings_.unsafe_deadline) + 2'500'000);
 }
 
 // ---- the platform ----
 
-Server::Reply Fleet::discovery(const http1::Message& m) {
+Server::Reply Fleet::handle_discovery_request(const http1::Message& m) {
   if (m.target == "/v1/outcomes") {
-    notices(m.body);
-    return {http1::response(204, {}, {}, false)};
+    handle_notices(m.body);
+    return {http1::build_response(204, {}, {}, false)};
   }
-  if (!discovery_up) return {http1::response(503, {}, {}, false), Server::Reply::Then::close};
-  if (m.target == "/catalog/members") return {http1::response(200, {}, list(), false)};
+  if (!discovery_up) return {http1::build_response(503, {}, {}, false), Server::Reply::Disposition::close};
+  if (m.target == "/catalog/members") return {http1::build_response(200, {}, endpoint_list(), false)};
   // The list never changes: a watch stays open, and a request for missed changes gets an empty answer.
   if (m.target.find("wait_ms=0") == std::string::npos) return {};
-  return {http1::response(200, {}, R"({"index":1,"snapshot":false,"endpoints":[]})", false)};
+  return {http1::build_response(200, {}, R"({"index":1,"snapshot":false,"endpoints":[]})", false)};
 }
 
-void Fleet::notices(const std::string& body) {
+void Fleet::handle_notices(const std::string& body) {
   const Time now = loop::monotonic_now();
   for (std::size_t from = 0; from < body.size();) {
     const auto end = std::min(body.find('\n', from), body.size());
@@ -294,17 +296,17 @@
       const auto first = start + key.size() + 4;
       return line.substr(first, line.find('"', first) - first);
     };
-    const auto it = judge.requests.find(value("id"));
-    if (it == judge.requests.end()) continue;
-    if (it->second.noticed == 0)
-      it->second.noticed = now, it->second.noticed_failed = value("state") == "failed";
+    const auto it = checker.requests.find(value("id"));
+    if (it == checker.requests.end()) continue;
+    if (it->second.notified == 0)
+      it->second.notified = now, it->second.notified_failed = value("state") == "failed";
     if (it->second.ended > 0) continue;
     it->second.ended = now, it->second.ended_by = "notice " + value("state");
     if (it->second.delivered == 0) ended_ids_.push_back(it->first);
   }
 }
 
-Server::Reply Fleet::called(const std::string& endpoint, const http1::Message& m, int connection) {
+Server::Reply Fleet::handle_call(const std::string& endpoint, const http1::Message& m, int connection) {
   const Time now = loop::monotonic_now();
   std::vector<std::string> ids;
   if (m.target == "/inbox/bulk")
@@ -312,54 +314,55 @@
   else if (const auto* id = m.find("x-call-id"))
     ids.push_back(*id);
   Reply planned = reply(endpoint, ids.empty() ? std::string() : ids.front());
-  if (const auto it = judge.requests.find(ids.empty() ? std::string() : ids.front());
-      settings_.endpoints_know_ends && it != judge.requests.end() &&
+  if (const auto it = checker.requests.find(ids.empty() ? std::string() : ids.front());
+      settings_.endpoints_answer_gone && it != checker.requests.end() &&
       (it->second.ended > 0 || it->second.abandoned))
-    planned = {Reply::What::over};
-  using Kind = Reply::What;
-  const bool ran = planned.what != Kind::refuse && planned.what != Kind::told_wait &&
-                   planned.what != Kind::over && planned.what != Kind::exhausted;
+    planned = {Reply::Kind::gone};
+  using Kind = Reply::Kind;
+  const bool ran = planned.kind != Kind::refuse && planned.kind != Kind::told_wait &&
+                   planned.kind != Kind::gone && planned.kind != Kind::exhausted;
   if (m.target == "/inbox" && m.body != settings_.body)
-    judge.crashes.push_back("another request's body was sent under the id " + ids.front());
+    checker.immediate_violations.push_back("another request's body was sent under the id " + ids.front());
   for (const auto& id : ids)
-    if (const auto it = judge.requests.find(id); it != judge.requests.end())
+    if (const auto it = checker.requests.find(id); it != checker.requests.end())
       it->second.calls.push_back({now, endpoint, ran});
   Server& server = *endpoints_.at(endpoint).server;
-  loop.after(planned.after, [this, &server, planned, ids, endpoint, connection, alive = alive_] {
-    if (!*alive || !server.has(connection)) return;
-    switch (planned.what) {
-      case Reply::What::hang:
+  loop.after(planned.delay, [this, &server, planned, ids, endpoint, connection, alive = alive_] {
+    if (!*alive || !server.is_open(connection)) return;
+    switch (planned.kind) {
+      case Reply::Kind::hang:
         return;
-      case Reply::What::reset:
+      case Reply::Kind::reset:
         return server.reset(connection);
-      case Reply::What::refuse:
-        return server.write(connection, http1::response(503, {}, {}, false));
-      case Reply::What::told_wait:
-        if (const auto it = judge.requests.find(ids.front()); it != judge.requests.end()) {
+      case Reply::Kind::refuse:
+        return server.write(connection, http1::build_response(503, {}, {}, false));
+      case Reply::Kind::told_wait:
+        if (const auto it = checker.requests.find(ids.front()); it != checker.requests.end()) {
           const Time told_at = loop::monotonic_now();
-          judge.waits.push_back({endpoint, it->second.relay, told_at, told_at + planned.wait});
+          checker.waits.push_back({endpoint, it->second.relay, told_at, told_at + planned.retry_after});
         }
         return server.write(
-            connection,
-            http1::response(429, {{"Retry-After", http1::seconds_text(planned.wait)}}, {}, false));
-      case Reply::What::error:
-        return server.write(connection, http1::response(500, {}, {}, false));
-      case Reply::What::over:
-      case Reply::What::exhausted: {
-        const auto it = judge.requests.find(ids.front());
-        if (it != judge.requests.end() && it->second.said_over == 0)
-          it->second.said_over = loop::monotonic_now();
-        const int status = planned.what == Reply::What::over ? 410 : 504;
-        return server.write(connection, http1::response(status, {}, {}, false));
+            connection, http1::build_response(
+                            429, {{"Retry-After", http1::format_seconds(planned.retry_after)}}, {}, false));
+      case Reply::Kind::error:
+        return server.write(connection, http1::build_response(500, {}, {}, false));
+      case Reply::Kind::gone:
+      case Reply::Kind::exhausted: {
+        const auto it = checker.requests.find(ids.front());
+        if (it != checker.requests.end() && it->second.endpoint_ended == 0)
+          it->second.endpoint_ended = loop::monotonic_now();
+        const int status = planned.kind == Reply::Kind::gone ? 410 : 504;
+        return server.write(connection, http1::build_response(status, {}, {}, false));
       }
-      case Reply::What::ok:
+      case Reply::Kind::ok:
         break;
     }
     std::string body;
     for (const auto& id : ids) body += ids.size() > 1 ? id + " ok\r\n" : "";
-    server.write(connection, http1::response(200, {}, body, false));
+    server.write(connection, http1::build_response(200, {}, body, false));
     for (const auto& id : ids)
-      if (const auto it = judge.requests.find(id); it != judge.requests.end() && it->second.delivered == 0)
+      if (const auto it = checker.requests.find(id);
+          it != checker.requests.end() && it->second.delivered == 0)
         it->second.delivered = loop::monotonic_now();
   });
   return {};
@@ -367,64 +370,66 @@
 
 // ---- clients ----
 
-Fleet::ClientLinkPtr Fleet::connect(int relay) {
-  auto link = std::make_shared<ClientLink>();
-  const std::weak_ptr<ClientLink> weak = link;
+Fleet::ClientConnectionPtr Fleet::connect(int relay) {
+  auto link = std::make_shared<ClientConnection>();
+  const std::weak_ptr<ClientConnection> weak = link;
   link->stream = std::make_unique<net::TcpStream>(
-      loop, net::Address::parse(at(relay).listen), kClientWaits,
+      loop, net::Address::parse(relay_at(relay).listen), kClientWaits,
       net::Stream::Handlers{.connected = {},
                             .data =
                                 [this, relay, weak](std::string_view bytes) {
                                   const auto l = weak.lock();
                                   if (!l) return;
-                                  l->reader.take(bytes);
-                                  if (l->reader.state() == http1::Reader::State::complete) answered(relay, l);
+                                  l->reader.consume(bytes);
+                                  if (l->reader.state() == http1::Parser::State::complete)
+                                    handle_answer(relay, l);
                                 },
                             .drained = {},
                             .closed =
                                 [this, relay, weak](const std::string& why) {
-                                  if (const auto l = weak.lock()) lost(relay, l, why);
+                                  if (const auto l = weak.lock()) handle_close(relay, l, why);
                                 }});
-  at(relay).busy[link.get()] = link;
+  relay_at(relay).busy[link.get()] = link;
   return link;
 }
 
-void Fleet::write(int relay, const ClientLinkPtr& link, const std::string& id) {
-  Request& request = judge.requests.at(id);
+void Fleet::write_request(int relay, const ClientConnectionPtr& link, const std::string& id) {
+  Request& request = checker.requests.at(id);
   request.copies++;
   const Time left = std::max<Time>(1'000, request.deadline - loop::monotonic_now());
   link->id = id, link->requests++;
-  link->stream->write(http1::request("POST", request.repeatable ? "/status" : "/order", "backend.local",
-                                     {{"X-Call-Id", id},
-                                      {"X-Caller", "acme"},
-                                      {"X-Budget", http1::seconds_text(left)},
-                                      {"X-Route-To", "dest=" + std::to_string(request.destination)}},
-                                     settings_.body));
+  link->stream->write(http1::build_request("POST", request.repeatable ? "/status" : "/order", "backend.local",
+                                           {{"X-Call-Id", id},
+                                            {"X-Caller", "acme"},
+                                            {"X-Budget", http1::format_seconds(left)},
+                                            {"X-Route-To", "dest=" + std::to_string(request.destination)}},
+                                           settings_.body));
   link->timer = loop.after(kClientWaits, [this, relay, link] {
     link->timer = 0;
-    Request& late = judge.requests.at(link->id);
+    Request& late = checker.requests.at(link->id);
     late.abandoned = late.answers.empty();
     link->id.clear();
-    release(relay, link);
+    close_connection(relay, link);
   });
-  if (const auto after = client_break())
+  if (const auto after = client_reset_after())
     loop.after(*after, [this, id, weak = std::weak_ptr(link), relay, alive = alive_] {
       const auto l = weak.lock();
       if (!*alive || !l || l->id != id) return;
       l->stream->close(true);
-      lost(relay, l, "reset by a fault");
+      handle_close(relay, l, "reset by a fault");
     });
 }
 
-std::string Fleet::hand_in(int relay, bool repeatable, int destination, const std::string& id) {
+std::string Fleet::submit(int relay, bool repeatable, int destination, const std::string& id) {
   Request request;
   request.id = id.empty() ? "m-" + std::to_string(next_id_++) : id;
   request.repeatable = repeatable, request.relay = relay, request.destination = kFirstGroup + destination;
-  request.handed_in = loop::monotonic_now();
-  request.deadline = request.handed_in + (repeatable ? settings_.safe_deadline : settings_.unsafe_deadline);
-  judge.requests[request.id] = request;
-  ClientLinkPtr link;
-  Relay& r = at(relay);
+  request.submitted_at = loop::monotonic_now();
+  request.deadline =
+      request.submitted_at + (repeatable ? settings_.safe_deadline : settings_.unsafe_deadline);
+  checker.requests[request.id] = request;
+  ClientConnectionPtr link;
+  Relay& r = relay_at(relay);
   if (!r.idle.empty()) {
     link = r.idle.back();
     r.idle.pop_back();
@@ -432,160 +437,162 @@
   } else {
     link = connect(relay);
   }
-  write(relay, link, request.id);
-  if (std::uniform_real_distribution<>()(random) < hedged) write(relay, connect(relay), request.id);
+  write_request(relay, link, request.id);
+  if (std::uniform_real_distribution<>()(random) < hedged_share)
+    write_request(relay, connect(relay), request.id);
   recent_ids_.push_back(request.id);
   if (recent_ids_.size() > kMostRecent) recent_ids_.erase(recent_ids_.begin());
   return request.id;
 }
 
 void Fleet::repeat(const std::string& id) {
-  const int relay = judge.requests.at(id).relay;
+  const int relay = checker.requests.at(id).relay;
   if (!running(relay)) return;
   const auto link = connect(relay);
-  link->once = true;
-  write(relay, link, id);
+  link->close_after_answer = true;
+  write_request(relay, link, id);
 }
 
-void Fleet::repeat_a_recent_one(int relay) {
+void Fleet::repeat_recent_request(int relay) {
   if (recent_ids_.empty()) return;
   const auto id = recent_ids_[random() % recent_ids_.size()];
-  const Request& request = judge.requests.at(id);
+  const Request& request = checker.requests.at(id);
   // Refused ids are not repeated: an earlier process's refusal may not be on record (see launch()).
   const bool refused = std::any_of(request.answers.begin(), request.answers.end(),
                                    [](const Answer& answer) { return answer.refuses(); });
   if (request.relay == relay && !refused) repeat(id);
 }
 
-void Fleet::misuse_the_id_of(const std::string& id, std::function<void(int)> on_status) {
-  const Request& request = judge.requests.at(id);
+void Fleet::send_other_body_under_id(const std::string& id, std::function<void(int)> on_status) {
+  const Request& request = checker.requests.at(id);
   if (!request.accepted() || !running(request.relay)) return on_status(0);
   const auto link = connect(request.relay);
-  link->done = std::move(on_status), link->once = true;
-  link->stream->write(http1::request("POST", request.repeatable ? "/status" : "/order", "backend.local",
-                                     {{"X-Call-Id", id},
-                                      {"X-Caller", "acme"},
-                                      {"X-Budget", "1.0"},
-                                      {"X-Route-To", "dest=" + std::to_string(request.destination)},
-                                      {"Connection", "close"}},
-                                     settings_.body + ", of another"));
+  link->on_status = std::move(on_status), link->close_after_answer = true;
+  link->stream->write(http1::build_request("POST", request.repeatable ? "/status" : "/order", "backend.local",
+                                           {{"X-Call-Id", id},
+                                            {"X-Caller", "acme"},
+                                            {"X-Budget", "1.0"},
+                                            {"X-Route-To", "dest=" + std::to_string(request.destination)},
+                                            {"Connection", "close"}},
+                                           settings_.body + ", of another"));
 }
 
-void Fleet::misuse_a_recent_id(int relay) {
+void Fleet::send_other_body_under_recent_id(int relay) {
   if (recent_ids_.empty()) return;
   const auto id = recent_ids_[random() % recent_ids_.size()];
-  if (judge.requests.at(id).relay == relay) misuse_the_id_of(id);
+  if (checker.requests.at(id).relay == relay) send_other_body_under_id(id);
 }
 
-void Fleet::deafen(const std::string& endpoint, bool paused) {
-  endpoints_.at(endpoint).server->deafen(paused);
+void Fleet::pause_reading(const std::string& endpoint, bool paused) {
+  endpoints_.at(endpoint).server->pause_reading(paused);
 }
 
-void Fleet::answered(int relay, const ClientLinkPtr& link) {
+void Fleet::handle_answer(int relay, const ClientConnectionPtr& link) {
   const int status = link->reader.message().status;
   const bool close = link->reader.message().close;
   link->reader.next();
-  if (link->done) {
-    std::exchange(link->done, nullptr)(status);
-    if (close) release(relay, link);
+  if (link->on_status) {
+    std::exchange(link->on_status, nullptr)(status);
+    if (close) close_connection(relay, link);
     return;
   }
-  const auto it = judge.requests.find(link->id);
+  const auto it = checker.requests.find(link->id);
   loop.cancel(link->timer), link->timer = 0;
   link->id.clear();
-  if (it != judge.requests.end()) {
+  if (it != checker.requests.end()) {
     Request& request = it->second;
     const Answer answer{loop::monotonic_now(), status};
     if (request.status == 0) request.status = status;
     request.answers.push_back(answer);
     if (!answer.accepts() && request.ended == 0) {
-      request.ended = answer.at, request.ended_by = "answer " + std::to_string(status);
+      request.ended = answer.received_at, request.ended_by = "answer " + std::to_string(status);
       if (answer.refuses()) ended_ids_.push_back(request.id);
     }
   }
-  if (close || link->once) return release(relay, link);
-  at(relay).busy.erase(link.get());
-  at(relay).idle.push_back(link);
+  if (close || link->close_after_answer) return close_connection(relay, link);
+  relay_at(relay).busy.erase(link.get());
+  relay_at(relay).idle.push_back(link);
 }
 
 // A request whose connection closes without an answer is sent once more on a new connection: the client
 // cannot tell whether the relay has read it.
-void Fleet::lost(int relay, const ClientLinkPtr& link, const std::string&) {
-  std::erase(at(relay).idle, link);
-  std::erase(at(relay).crowd, link);
-  at(relay).busy.erase(link.get());
+void Fleet::handle_close(int relay, const ClientConnectionPtr& link, const std::string&) {
+  std::erase(relay_at(relay).idle, link);
+  std::erase(relay_at(relay).extra_connections, link);
+  relay_at(relay).busy.erase(link.get());
   loop.cancel(link->timer), link->timer = 0;
-  if (link->done) return std::exchange(link->done, nullptr)(0);
+  if (link->on_status) return std::exchange(link->on_status, nullptr)(0);
   if (link->id.empty()) return;
   const auto id = std::exchange(link->id, {});
-  send_once_more(id);
+  send_second_copy(id);
 }
 
 // Sends a second copy at once or, while the relay is not ready, when it is ready again.
-void Fleet::send_once_more(const std::string& id) {
-  Request& request = judge.requests.at(id);
+void Fleet::send_second_copy(const std::string& id) {
+  Request& request = checker.requests.at(id);
   if (request.copies > 1 || loop::monotonic_now() > request.deadline) {
     request.abandoned = request.answers.empty();
     return;
   }
-  Relay& r = at(request.relay);
-  if (r.process && r.process->running() && r.ready) return write(request.relay, connect(request.relay), id);
+  Relay& r = relay_at(request.relay);
+  if (r.process && r.process->running() && r.ready)
+    return write_request(request.relay, connect(request.relay), id);
   loop.after(kCheckEvery, [this, id, alive = alive_] {
-    if (*alive) send_once_more(id);
+    if (*alive) send_second_copy(id);
   });
 }
 
-void Fleet::release(int relay, const ClientLinkPtr& link) {
+void Fleet::close_connection(int relay, const ClientConnectionPtr& link) {
   link->stream->close();
-  at(relay).busy.erase(link.get());
+  relay_at(relay).busy.erase(link.get());
   loop.defer([link] {});
 }
 
 void Fleet::traffic(double per_second, double unsafe_share) {
-  per_second_ = per_second, unsafe_share_ = unsafe_share, traffic_run_++;
+  per_second_ = per_second, unsafe_share_ = unsafe_share, traffic_generation_++;
   if (per_second <= 0) return;
-  for (int r = 0; r < settings_.relays; r++) next_request(r);
+  for (int r = 0; r < settings_.relays; r++) schedule_request(r);
 }
 
-void Fleet::next_request(int relay) {
-  const auto run = traffic_run_;
+void Fleet::schedule_request(int relay) {
+  const auto run = traffic_generation_;
   const double gap = std::exponential_distribution<double>(per_second_)(random);
   loop.after(static_cast<Time>(gap * 1e6) + 1, [this, relay, run, alive = alive_] {
-    if (!*alive || run != traffic_run_) return;
+    if (!*alive || run != traffic_generation_) return;
     // New connections go to ready relays only; clients keep using the connections that they have.
-    Relay& r = at(relay);
+    Relay& r = relay_at(relay);
     if (r.process && (r.ready || !r.idle.empty()))
-      hand_in(relay, std::uniform_real_distribution<>()(random) >= unsafe_share_,
-              static_cast<int>(random() % static_cast<std::uint64_t>(settings_.destinations)));
-    next_request(relay);
+      submit(relay, std::uniform_real_distribution<>()(random) >= unsafe_share_,
+             static_cast<int>(random() % static_cast<std::uint64_t>(settings_.destinations)));
+    schedule_request(relay);
   });
 }
 
-void Fleet::crowd(int relay, int connections) {
+void Fleet::open_idle_connections(int relay, int connections) {
   for (int i = 0; i < connections; i++) {
     const auto link = connect(relay);
-    at(relay).busy.erase(link.get());
-    at(relay).crowd.push_back(link);
-    link->done = [](int) {};
+    relay_at(relay).busy.erase(link.get());
+    relay_at(relay).extra_connections.push_back(link);
+    link->on_status = [](int) {};
     if (i % 2 == 0) link->stream->write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
   }
 }
 
-void Fleet::repeat_an_ended_id(int relay) {
+void Fleet::repeat_ended_request(int relay) {
   if (ended_ids_.empty()) return;
   const auto id = ended_ids_[random() % ended_ids_.size()];
-  const Request& request = judge.requests.at(id);
+  const Request& request = checker.requests.at(id);
   if (request.relay != relay) return;
   repeat(id);
 }
 
-std::string Fleet::end_of(const std::string& id) const {
-  const Request& request = judge.requests.at(id);
+std::string Fleet::final_answer_of(const std::string& id) const {
+  const Request& request = checker.requests.at(id);
   if (request.delivered > 0) return "delivered";
   return request.ended_by;
 }
 
-bool Fleet::logged(int relay, const std::string& text) const {
+bool Fleet::has_log_line(int relay, const std::string& text) const {
   const auto& lines = log(relay);
   return std::any_of(lines.begin(), lines.end(),
                      [&](const auto& line) { return line.find(text) != std::string::npos; });
--- a/tests/faults/fleet.hpp
+++ b/tests/faults/fleet.hpp
@@ -22,24 +22,24 @@
 using platform::testing::Server;
 
 struct FleetSettings {
-  std::string program, library;  // paths of the relay program and of the fault library
+  std::string program, fault_library;  // paths of the relay program and of the fault library
   std::uint64_t seed = 1;
-  int relays = 1, destinations = 3, endpoints_each = 2;
+  int relays = 1, destinations = 3, endpoints_per_destination = 2;
   Time safe_deadline = 2'000'000, unsafe_deadline = 3'000'000;
   int slots = 16;
   bool proxied = false;      // connections to endpoints pass a proxy that may delay them
   bool routes_apart = true;  // each endpoint has its own limit
   std::string body = "hello";
   // Endpoints answer 410 to a call of a message that has its final answer, or that its client has abandoned.
-  bool endpoints_know_ends = false;
+  bool endpoints_answer_gone = false;
 };
 
 // How an endpoint responds to a call: 410 says that the message has ended, 504 that its attempts are
 // exhausted.
 struct Reply {
-  enum class What { ok, refuse, told_wait, error, hang, reset, over, exhausted } what = What::ok;
-  Time after = 5'000;
-  Time wait = 0;  // Retry-After, for told_wait
+  enum class Kind { ok, refuse, told_wait, error, hang, reset, gone, exhausted } kind = Kind::ok;
+  Time delay = 5'000;
+  Time retry_after = 0;  // Retry-After, for told_wait
 };
 
 // Relays, clients, endpoints and platform of one test.
@@ -49,7 +49,7 @@
   ~Fleet();
 
   loop::Loop loop;
-  Judge judge;
+  RuleChecker checker;
   std::mt19937_64 random;
   // Called for each call that has been received completely.
   std::function<Reply(const std::string& endpoint, const std::string& id)> reply =
@@ -57,8 +57,8 @@
   // Called for each new connection to an endpoint, where `proxied`: how long the proxy holds it.
   std::function<Time()> proxy_delay = [] { return Time{0}; };
   // Called for each request that is written: after how long its client's connection is reset, if at all.
-  std::function<std::optional<Time>()> client_break = [] { return std::nullopt; };
-  double hedged = 0;  // share of requests sent twice at once, on two connections
+  std::function<std::optional<Time>()> client_reset_after = [] { return std::nullopt; };
+  double hedged_share = 0;  // share of requests sent twice at once, on two connections
   bool discovery_up = true;
 
   Control& faults(int relay) { return *relays_.at(static_cast<std::size_t>(relay)).control; }
@@ -71,88 +71,89 @@
   void terminate(int relay);  // SIGTERM, SIGKILL 3.7 s later, and a new process 0.6 s after that
   void run(Time span);
   // Runs the loop until the condition holds. Returns false where it did not in time.
-  bool until(const std::function<bool()>& condition, Time within);
+  bool run_until(const std::function<bool()>& condition, Time within);
   // Stops traffic and faults, and runs until every request must have its final answer.
   void settle();
 
   // Submits one request and returns its id. Its client waits 400 ms for the answer.
-  std::string hand_in(int relay, bool repeatable, int destination = 0, const std::string& id = {});
+  std::string submit(int relay, bool repeatable, int destination = 0, const std::string& id = {});
   // Sends so many requests per second to each relay from now on; 0: none.
   void traffic(double per_second, double unsafe_share = 0.5);
   // Opens connections that stay open; every other one sends a single health request, the rest send nothing.
-  void crowd(int relay, int connections);
+  void open_idle_connections(int relay, int connections);
   // Sends another copy of a random request that has its final answer, if it was sent to this relay.
-  void repeat_an_ended_id(int relay);
+  void repeat_ended_request(int relay);
   // Sends another copy of a request, whatever its state, on a new connection.
   void repeat(const std::string& id);
-  void repeat_a_recent_one(int relay);
+  void repeat_recent_request(int relay);
   // Sends a request with another body under the id of an accepted one. The answer to it is not checked
   // against the accepted request.
-  void misuse_the_id_of(
+  void send_other_body_under_id(
       const std::string& id, std::function<void(int)> on_status = [](int) {});
-  void misuse_a_recent_id(int relay);
+  void send_other_body_under_recent_id(int relay);
   // Whether the endpoint stops reading; it still accepts connections.
-  void deafen(const std::string& endpoint, bool paused);
-  std::string end_of(const std::string& id) const;  // "delivered", "notice returned", ...; empty: none yet
+  void pause_reading(const std::string& endpoint, bool paused);
+  std::string final_answer_of(
+      const std::string& id) const;  // "delivered", "notice returned", ...; empty: none yet
   const std::vector<std::string>& log(int relay) const {
     return relays_.at(static_cast<std::size_t>(relay)).log;
   }
-  bool logged(int relay, const std::string& text) const;
+  bool has_log_line(int relay, const std::string& text) const;
   bool ready(int relay) { return relays_.at(static_cast<std::size_t>(relay)).ready; }
   bool running(int relay) { return relays_.at(static_cast<std::size_t>(relay)).process != nullptr; }
 
  private:
   // A client's connection to a relay.
-  struct ClientLink {
+  struct ClientConnection {
     std::unique_ptr<net::TcpStream> stream;
-    http1::Reader reader{http1::Reader::Side::responses};
+    http1::Parser reader{http1::Parser::Side::responses};
     std::string id;  // of the request awaiting its answer
     loop::TimerId timer = 0;
     int requests = 0;
-    bool once = false;  // closed after its answer
+    bool close_after_answer = false;  // closed after its answer
     // For requests that the checker does not track: gets the status, 0 where the connection closed.
-    std::function<void(int)> done;
+    std::function<void(int)> on_status;
   };
-  using ClientLinkPtr = std::shared_ptr<ClientLink>;
+  using ClientConnectionPtr = std::shared_ptr<ClientConnection>;
   struct Relay {
     std::string listen, folder, config_file, control_file;
     Control* control = nullptr;
     std::unique_ptr<rig::Process> process;
-    bool ended_by_us = true, ready = false, start_when_gone = false;
+    bool signalled_by_test = true, ready = false, restart_on_exit = false;
     int launches = 0;
-    std::size_t restart = 0;  // index in the checker's restarts plus one; 0: none
+    std::size_t restart_number = 0;  // index in the checker's restarts plus one; 0: none
     std::vector<std::string> log;
-    std::vector<ClientLinkPtr> idle, crowd;
-    std::map<ClientLink*, ClientLinkPtr> busy;
+    std::vector<ClientConnectionPtr> idle, extra_connections;
+    std::map<ClientConnection*, ClientConnectionPtr> busy;
   };
   struct Endpoint {
     int destination = 0;
     std::unique_ptr<Server> server;
     std::unique_ptr<Proxy> proxy;
   };
-  Relay& at(int relay) { return relays_.at(static_cast<std::size_t>(relay)); }
-  std::string config(int relay) const;
-  std::string list() const;
+  Relay& relay_at(int relay) { return relays_.at(static_cast<std::size_t>(relay)); }
+  std::string relay_config(int relay) const;
+  std::string endpoint_list() const;
   // The platform's HTTP interface: notices, the list of endpoints, and the watch on it.
-  Server::Reply discovery(const http1::Message& request);
+  Server::Reply handle_discovery_request(const http1::Message& request);
   // A call arrived at an endpoint.
-  Server::Reply called(const std::string& endpoint, const http1::Message& request, int connection);
-  void notices(const std::string& body);
+  Server::Reply handle_call(const std::string& endpoint, const http1::Message& request, int connection);
+  void handle_notices(const std::string& body);
   void launch(int relay);
   // Polls the relay's health until it is ready, and notices when its process has exited.
-  void check(int relay);
+  void poll_process(int relay);
   // Records that a signal to end the relay is sent now.
-  void signalled(int relay);
-  void launch_later(int relay);
-  ClientLinkPtr connect(int relay);
-  void write(int relay, const ClientLinkPtr& link, const std::string& id);
-  void answered(int relay, const ClientLinkPtr& link);
-  void send_once_more(const std::string& id);
+  void record_signal(int relay);
+  void schedule_launch(int relay);
+  ClientConnectionPtr connect(int relay);
+  void write_request(int relay, const ClientConnectionPtr& link, const std::string& id);
+  void handle_answer(int relay, const ClientConnectionPtr& link);
+  void send_second_copy(const std::string& id);
   // The relay or a fault closed the connection.
-  void lost(int relay, const ClientLinkPtr& link, const std::string& why);
+  void handle_close(int relay, const ClientConnectionPtr& link, const std::string& why);
   // The client closes the connection.
-  void release(int relay, const ClientLinkPtr& link);
-  void next_request(int relay);
+  void close_connection(int relay, const ClientConnectionPtr& link);
+  void schedule_request(int relay);
 
   FleetSettings settings_;
   std::string folder_;
@@ -161,7 +162,7 @@
   std::unique_ptr<Server> discovery_;
   std::vector<std::string> ended_ids_, recent_ids_;
   double per_second_ = 0, unsafe_share_ = 0;
-  std::uint64_t traffic_run_ = 0;  // so that timers of earlier traffic end
+  std::uint64_t traffic_generation_ = 0;  // so that timers of earlier traffic end
   int next_id_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false for timers that outlive this
 };
--- a/tests/faults/judge.cpp
+++ b/tests/faults/judge.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-Time Judge::due(const Request& request) const {
+Time RuleChecker::final_answer_due(const Request& request) const {
   Time due = request.deadline + kOverdue + lag;
   for (const auto& restart : restarts) {
     if (restart.relay != request.relay || restart.signalled > due) continue;
@@ -24,84 +24,89 @@
   return due;
 }
 
-bool Judge::left_before(const Call& call, Time moment) const {
+bool RuleChecker::left_before(const Call& call, Time moment) const {
   const Time in_flight = kInFlight + lag;
-  if (call.at <= moment + in_flight) return true;
+  if (call.received_at <= moment + in_flight) return true;
   return std::any_of(holds.begin(), holds.end(), [&](const Hold& hold) {
-    return hold.endpoint == call.endpoint && hold.from <= moment && call.at >= hold.until &&
-           call.at <= hold.until + in_flight;
+    return hold.endpoint == call.endpoint && hold.from <= moment && call.received_at >= hold.until &&
+           call.received_at <= hold.until + in_flight;
   });
 }
 
-void Judge::check_calls(const Request& r, const std::string& label, Verdict& result) const {
+void RuleChecker::check_calls(const Request& r, const std::string& label, CheckResult& result) const {
   std::size_t runs = 0;
   for (const auto& call : r.calls) {
     runs += call.ran;
     if (r.ended > 0 && !left_before(call, r.ended))
-      result.broken.push_back("sent after its final answer: " + label + ", " + r.ended_by + " at " +
-                              at(r.ended) + ", call at " + call.endpoint + " at " + at(call.at));
-    if (r.said_over > 0 && !left_before(call, r.said_over))
-      result.broken.push_back("sent after an endpoint answered 410 or 504: " + label + ", answered at " +
-                              at(r.said_over) + ", call at " + call.endpoint + " at " + at(call.at));
+      result.violations.push_back("sent after its final answer: " + label + ", " + r.ended_by + " at " +
+                                  time_text(r.ended) + ", call at " + call.endpoint + " at " +
+                                  time_text(call.received_at));
+    if (r.endpoint_ended > 0 && !left_before(call, r.endpoint_ended))
+      result.violations.push_back("sent after an endpoint answered 410 or 504: " + label + ", answered at " +
+                                  time_text(r.endpoint_ended) + ", call at " + call.endpoint + " at " +
+                                  time_text(call.received_at));
     for (const auto& wait : waits) {
       if (wait.endpoint != call.endpoint || wait.relay != r.relay) continue;
       const bool restarted = std::any_of(restarts.begin(), restarts.end(), [&](const Restart& x) {
-        return x.relay == r.relay && x.signalled < call.at && x.ready > wait.told;
+        return x.relay == r.relay && x.signalled < call.received_at && x.ready > wait.told;
       });
-      if (!left_before(call, wait.told) && call.at < wait.until && !restarted)
-        result.broken.push_back("sent during a told wait: " + label + ", told at " + at(wait.told) +
-                                " until " + at(wait.until) + ", call at " + call.endpoint + " at " +
-                                at(call.at));
+      if (!left_before(call, wait.told) && call.received_at < wait.until && !restarted)
+        result.violations.push_back("sent during a told wait: " + label + ", told at " +
+                                    time_text(wait.told) + " until " + time_text(wait.until) + ", call at " +
+                                    call.endpoint + " at " + time_text(call.received_at));
     }
   }
   if (runs > 1 && !r.repeatable)
-    result.broken.push_back("ran more than once: " + label + ", " + std::to_string(runs) + " times");
+    result.violations.push_back("ran more than once: " + label + ", " + std::to_string(runs) + " times");
 }
 
 // All copies of a request must get consistent answers. A refusal may be followed by any answer: it ends the
 // request, so check_calls() verifies that nothing is sent after it.
-void Judge::check_answers(const Request& r, const std::string& label, Verdict& result) const {
+void RuleChecker::check_answers(const Request& r, const std::string& label, CheckResult& result) const {
   bool accepted = false, failed = false;
   for (const auto& answer : r.answers) {
     const bool fails = !answer.accepts() && !answer.refuses();
     // The final answer of an accepted request is the one that its notice reports, before or after this
     // answer.
-    const bool matches_notice = r.noticed > 0 && r.noticed_failed == fails;
+    const bool matches_notice = r.notified > 0 && r.notified_failed == fails;
     if (!answer.accepts() && accepted && !matches_notice)
-      result.broken.push_back("accepted, then answered as ended without a matching notice: " + label +
-                              ", answer " + std::to_string(answer.status) + " at " + at(answer.at));
+      result.violations.push_back("accepted, then answered as ended without a matching notice: " + label +
+                                  ", answer " + std::to_string(answer.status) + " at " +
+                                  time_text(answer.received_at));
     if (answer.accepts() && failed)
-      result.broken.push_back("answered as failed, then accepted: " + label + " at " + at(answer.at));
-    if (!answer.accepts() && r.delivered > 0 && r.accepted() && r.noticed == 0 &&
-        answer.at > r.delivered + kInFlight + lag)
-      result.broken.push_back("delivered, then answered as not delivered: " + label + ", answer " +
-                              std::to_string(answer.status) + " at " + at(answer.at));
+      result.violations.push_back("answered as failed, then accepted: " + label + " at " +
+                                  time_text(answer.received_at));
+    if (!answer.accepts() && r.delivered > 0 && r.accepted() && r.notified == 0 &&
+        answer.received_at > r.delivered + kInFlight + lag)
+      result.violations.push_back("delivered, then answered as not delivered: " + label + ", answer " +
+                                  std::to_string(answer.status) + " at " + time_text(answer.received_at));
     accepted = accepted || answer.accepts(), failed = failed || fails;
   }
 }
 
-Verdict Judge::verdict(Time now) const {
-  Verdict result;
-  result.broken = crashes;
+CheckResult RuleChecker::check(Time now) const {
+  CheckResult result;
+  result.violations = immediate_violations;
   for (const auto& restart : restarts)
     if ((restart.ready == 0 ? now : restart.ready) - restart.signalled > kReadyWithin + lag)
-      result.broken.push_back("relay " + std::to_string(restart.relay) + " signalled at " +
-                              at(restart.signalled) + " was not ready again in time");
+      result.violations.push_back("relay " + std::to_string(restart.relay) + " signalled at " +
+                                  time_text(restart.signalled) + " was not ready again in time");
   for (const auto& [id, r] : requests) {
-    result.handed_in++;
+    result.submitted++;
     result.accepted += r.accepted(),
         result.delivered += r.accepted() && r.delivered > 0 && r.delivered <= r.deadline;
     result.refused += r.status == 503 || r.status == 429;
     result.unanswered += r.status == 0, result.ended += r.ended > 0, result.repeated += r.copies > 1;
-    const std::string label = id + " (submitted at " + at(r.handed_in) + ", answer " +
+    const std::string label = id + " (submitted at " + time_text(r.submitted_at) + ", answer " +
                               std::to_string(r.status) + ", copies " + std::to_string(r.copies) +
-                              ", deadline " + at(r.deadline) + ")";
+                              ", deadline " + time_text(r.deadline) + ")";
     if (r.accepted()) {
-      const Time final_at = r.delivered > 0 && r.noticed > 0 ? std::min(r.delivered, r.noticed)
-                                                             : std::max(r.delivered, r.noticed);
-      if (final_at == 0 ? now > due(r) : final_at > due(r))
-        result.broken.push_back("lost: " + label +
-                                (final_at == 0 ? ", no final answer" : ", final answer at " + at(final_at)));
+      const Time final_at = r.delivered > 0 && r.notified > 0 ? std::min(r.delivered, r.notified)
+                                                              : std::max(r.delivered, r.notified);
+      if (final_at == 0 ? now > final_answer_due(r) : final_at > final_answer_due(r))
+        result.violations.push_back(
+            "lost: " + label +
+            (final_at == 0 ? ", no final answer" : ", final answer at " + time_text(final_at)));
     }
     check_calls(r, label, result);
     check_answers(r, label, result);
--- a/tests/faults/preload.cpp
+++ b/tests/faults/preload.cpp
@@ -24,7 +24,7 @@
 // Null where no control file is set or it cannot be mapped.
 Control* control() {
   static Control* const mapped = [] {
-    const char* file = std::getenv(cedarplank::testing::faults::kControlFile);
+    const char* file = std::getenv(cedarplank::testing::faults::kControlFileVariable);
     return file == nullptr ? nullptr : cedarplank::testing::faults::map_control(file, false);
   }();
   return mapped;
@@ -41,21 +41,21 @@
   if (control() == nullptr) return false;
   const int error = (control()->*error_field).load(std::memory_order_relaxed);
   if (error == 0) return false;
-  control()->hits++;
+  control()->injected_failures++;
   errno = error;
   return true;
 }
 
 // The size to pass on, limited as the control file says.
 size_t limited_size(size_t size) {
-  const int most = control() == nullptr ? 0 : control()->short_io.load(std::memory_order_relaxed);
+  const int most = control() == nullptr ? 0 : control()->max_io_bytes.load(std::memory_order_relaxed);
   return most > 0 ? std::min(size, static_cast<size_t>(most)) : size;
 }
 
 bool inject_receive_failure() {
   static std::atomic<int> reads{0};
   if (control() == nullptr || control()->receive_error.load() == 0) return false;
-  if (++reads % std::max(1, control()->receive_error_each.load()) != 0) return false;
+  if (++reads % std::max(1, control()->receive_error_interval.load()) != 0) return false;
   return inject_failure(&Control::receive_error);
 }
 
@@ -71,10 +71,10 @@
       raise(SIGKILL);
     }
     if (control()->write_error.load() != 0) {
-      const auto part = static_cast<size_t>(control()->write_part.load());
+      const auto part = static_cast<size_t>(control()->partial_write_bytes.load());
       // As the kernel does: reports the bytes written, and the next write fails.
       if (part > 0 && part < size) {
-        control()->write_part = 0;
+        control()->partial_write_bytes = 0;
         return next(fd, bytes, part, at);
       }
     }
@@ -161,7 +161,7 @@
   static const auto next = real<int (*)(struct pollfd*, nfds_t, int)>("poll");
   static std::atomic<int> calls{0};
   if (control() != nullptr && control()->interrupt_polls.load() != 0 && ++calls % 2 == 0) {
-    control()->hits++;
+    control()->injected_failures++;
     errno = EINTR;
     return -1;
   }
@@ -174,7 +174,7 @@
   if (result != 0 || which != CLOCK_REALTIME || control() == nullptr) return result;
   constexpr std::int64_t kMillion = 1'000'000;
   const std::int64_t micros =
-      std::int64_t{out->tv_sec} * kMillion + out->tv_nsec / 1000 + control()->wall_shift.load();
+      std::int64_t{out->tv_sec} * kMillion + out->tv_nsec / 1000 + control()->wall_clock_offset.load();
   out->tv_sec = micros / kMillion, out->tv_nsec = micros % kMillion * 1000 + out->tv_nsec % 1000;
   return result;
 }
@@ -182,7 +182,7 @@
 FILE* fopen(const char* name, const char* mode) {
   static const auto next = real<FILE* (*)(const char*, const char*)>("fopen");
   if (control() != nullptr && control()->hide_boot_id.load() != 0 && strstr(name, "boot_id") != nullptr) {
-    control()->hits++;
+    control()->injected_failures++;
     errno = ENFILE;
     return nullptr;
   }
--- a/tests/faults/proxy.hpp
+++ b/tests/faults/proxy.hpp
@@ -20,20 +20,20 @@
   std::string address() const { return listener_.address().text(); }
 
  private:
-  struct Pair {
-    std::unique_ptr<net::TcpStream> near, far;  // towards the client and the target
-    std::string held;                           // bytes from the near side until the far side is opened
-    bool ended = false;                         // the near side has closed
+  struct ConnectionPair {
+    std::unique_ptr<net::TcpStream> client_side, target_side;  // towards the client and the target
+    std::string buffered;        // bytes from the near side until the far side is opened
+    bool client_closed = false;  // the near side has closed
   };
-  void accepted(net::Fd fd);
-  void connect(int number);
-  void drop(int number);
+  void handle_accepted(net::Fd fd);
+  void connect_target(int number);
+  void close_pair(int number);
 
   loop::Loop& loop_;
   std::string target_;
   std::function<loop::Time()> delay_;
-  std::map<int, std::shared_ptr<Pair>> pairs_;
-  int next_ = 0;
+  std::map<int, std::shared_ptr<ConnectionPair>> pairs_;
+  int next_number_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   net::Listener listener_;
 };
--- a/tests/faults/soak.cpp
+++ b/tests/faults/soak.cpp
@@ -81,16 +81,16 @@
   Reply reply(const std::string& endpoint) {
     const Time after = kMs + random_below(behaviour_.slowest);
     if (const auto it = behaviour_.hanging.find(endpoint); it != behaviour_.hanging.end())
-      if (loop::monotonic_now() < it->second) return {Reply::What::hang, after};
+      if (loop::monotonic_now() < it->second) return {Reply::Kind::hang, after};
     double left = chance();
-    if ((left -= behaviour_.refused) < 0) return {Reply::What::refuse, after};
-    if ((left -= behaviour_.reset) < 0) return {Reply::What::reset, after};
-    if ((left -= behaviour_.errors) < 0) return {Reply::What::error, after};
-    if ((left -= behaviour_.gone) < 0) return {Reply::What::over, after};
-    if ((left -= behaviour_.exhausted) < 0) return {Reply::What::exhausted, after};
+    if ((left -= behaviour_.refused) < 0) return {Reply::Kind::refuse, after};
+    if ((left -= behaviour_.reset) < 0) return {Reply::Kind::reset, after};
+    if ((left -= behaviour_.errors) < 0) return {Reply::Kind::error, after};
+    if ((left -= behaviour_.gone) < 0) return {Reply::Kind::gone, after};
+    if ((left -= behaviour_.exhausted) < 0) return {Reply::Kind::exhausted, after};
     if ((left -= behaviour_.told_wait) < 0)
-      return {Reply::What::told_wait, after, 200 * kMs + random_below(kS)};
-    return {Reply::What::ok, after};
+      return {Reply::Kind::told_wait, after, 200 * kMs + random_below(kS)};
+    return {Reply::Kind::ok, after};
   }
 
   void inject_fault() {
@@ -123,7 +123,7 @@
         return fail_reads_and_polls(relay);
       case 9:
         record_step("many idle connections at " + std::to_string(relay));
-        return fleet_.crowd(relay, 60 + static_cast<int>(random_below(120)));
+        return fleet_.open_idle_connections(relay, 60 + static_cast<int>(random_below(120)));
       case 10:
         return fail_endpoints();
       case 11:
@@ -146,13 +146,13 @@
     const Time duration = 100 * kMs + random_below(2'500 * kMs);
     record_step(std::string("folder of ") + std::to_string(relay) + " fails for " +
                 std::to_string(duration / kMs) + " ms: " + std::strerror(error));
-    if (random_below(3) == 0) c.write_part = 1 + static_cast<int>(random_below(500));
+    if (random_below(3) == 0) c.partial_write_bytes = 1 + static_cast<int>(random_below(500));
     c.write_error = error;
     if (random_below(2) == 0) c.create_error = c.allocate_error = c.rename_error = c.remove_error = error;
     if (random_below(4) == 0) c.read_error = EIO;
     schedule(duration, [&c] {
       c.write_error = c.create_error = c.allocate_error = c.rename_error = c.remove_error = 0;
-      c.read_error = c.write_part = 0;
+      c.read_error = c.partial_write_bytes = 0;
     });
     if (random_below(2) == 0)
       schedule(random_below(duration + 200 * kMs), [this, relay] {
@@ -164,7 +164,7 @@
   void step_clock(int relay) {
     const Time step = random_choice({Time{1}, Time{7}, Time{3600}}) * (random_below(2) == 0 ? kS : -kS);
     record_step("wall clock of " + std::to_string(relay) + " steps by " + std::to_string(step / kS) + " s");
-    fleet_.faults(relay).wall_shift += step;
+    fleet_.faults(relay).wall_clock_offset += step;
     fleet_.faults(relay).hide_boot_id = static_cast<int>(random_below(2));
     if (random_below(2) == 0)
       schedule(random_below(kS), [this, relay] {
@@ -199,12 +199,12 @@
         c.interrupt_polls = 1;
         break;
       case 1:
-        c.short_io = 1 + static_cast<int>(random_below(40));
+        c.max_io_bytes = 1 + static_cast<int>(random_below(40));
         break;
       default:
-        c.receive_error_each = 50, c.receive_error = random_choice({ETIMEDOUT, EHOSTUNREACH});
+        c.receive_error_interval = 50, c.receive_error = random_choice({ETIMEDOUT, EHOSTUNREACH});
     }
-    schedule(kS + random_below(2 * kS), [&c] { c.interrupt_polls = c.short_io = c.receive_error = 0; });
+    schedule(kS + random_below(2 * kS), [&c] { c.interrupt_polls = c.max_io_bytes = c.receive_error = 0; });
   }
 
   void fail_endpoints() {
@@ -245,17 +245,18 @@
   void pause_endpoint_reading(const std::string& endpoint) {
     const Time duration = kS + random_below(2 * kS), now = loop::monotonic_now();
     record_step(endpoint + " reads nothing for " + std::to_string(duration / kMs) + " ms");
-    if (small_requests_) fleet_.judge.holds.push_back({endpoint, now, now + duration});
-    fleet_.deafen(endpoint, true);
-    schedule(duration, [this, endpoint] { fleet_.deafen(endpoint, false); });
+    if (small_requests_) fleet_.checker.holds.push_back({endpoint, now, now + duration});
+    fleet_.pause_reading(endpoint, true);
+    schedule(duration, [this, endpoint] { fleet_.pause_reading(endpoint, false); });
   }
 
   // Sends copies of requests in any state, and requests with another body under their ids.
   void repeat_requests(int relay) {
     record_step("repeated requests at " + std::to_string(relay));
     for (int i = 0; i < 60; i++) {
-      schedule(i * 20 * kMs, [this, relay] { fleet_.repeat_a_recent_one(relay); });
-      if (i % 6 == 0) schedule(i * 20 * kMs, [this, relay] { fleet_.misuse_a_recent_id(relay); });
+      schedule(i * 20 * kMs, [this, relay] { fleet_.repeat_recent_request(relay); });
+      if (i % 6 == 0)
+        schedule(i * 20 * kMs, [this, relay] { fleet_.send_other_body_under_recent_id(relay); });
     }
   }
 
@@ -264,14 +265,14 @@
     const Time most = random_choice({Time{2} * kMs, Time{10} * kMs, Time{200} * kMs});
     record_step("clients' connections are reset within " + std::to_string(most / kMs) +
                 " ms, hedged requests");
-    fleet_.client_break = [this, most]() -> std::optional<Time> {
+    fleet_.client_reset_after = [this, most]() -> std::optional<Time> {
       if (random_below(4) != 0) return std::nullopt;
       return random_below(most);
     };
-    fleet_.hedged = 0.2;
+    fleet_.hedged_share = 0.2;
     schedule(3 * kS, [this] {
-      fleet_.client_break = [] { return std::nullopt; };
-      fleet_.hedged = 0;
+      fleet_.client_reset_after = [] { return std::nullopt; };
+      fleet_.hedged_share = 0;
     });
   }
 
@@ -282,7 +283,8 @@
       return schedule(kS + random_below(3 * kS), [this] { fleet_.discovery_up = true; });
     }
     record_step("requests with a final answer are repeated at " + std::to_string(relay));
-    for (int i = 0; i < 20; i++) schedule(i * 30 * kMs, [this, relay] { fleet_.repeat_an_ended_id(relay); });
+    for (int i = 0; i < 20; i++)
+      schedule(i * 30 * kMs, [this, relay] { fleet_.repeat_ended_request(relay); });
   }
 
   Fleet fleet_;
@@ -296,24 +298,25 @@
 
 bool play(std::uint64_t seed, const Options& options) {
   FleetSettings settings;
-  settings.program = PROGRAM, settings.library = FAULT_LIBRARY, settings.seed = seed;
+  settings.program = PROGRAM, settings.fault_library = FAULT_LIBRARY, settings.seed = seed;
   settings.relays = 1 + static_cast<int>(seed % 3);
   settings.proxied = seed % 2 == 0;
-  settings.endpoints_know_ends = seed % 4 >= 2;
+  settings.endpoints_answer_gone = seed % 4 >= 2;
   if (seed % 5 == 0) settings.body = std::string(16'000, 'x');
   FaultRun run(settings, static_cast<Time>(options.seconds * 1e6));
   const bool started = run.play(options.rate);
-  auto result = run.fleet().judge.verdict(loop::monotonic_now());
-  if (!started) result.broken.push_back("the relays did not become ready");
+  auto result = run.fleet().checker.check(loop::monotonic_now());
+  if (!started) result.violations.push_back("the relays did not become ready");
   std::printf(
       "seed %llu: %zu handed in, %zu repeated, %zu accepted, %zu refused, %zu unanswered, %zu delivered "
       "(%.3f), "
       "%zu restarts, lag %lld ms, %zu broken\n",
-      static_cast<unsigned long long>(seed), result.handed_in, result.repeated, result.accepted,
-      result.refused, result.unanswered, result.delivered, result.share(), run.fleet().judge.restarts.size(),
-      static_cast<long long>(run.fleet().judge.lag / kMs), result.broken.size());
-  for (const auto& line : result.broken) std::printf("  %s\n", line.c_str());
-  if (!result.broken.empty() || !options.logs.empty()) {
+      static_cast<unsigned long long>(seed), result.submitted, result.repeated, result.accepted,
+      result.refused, result.unanswered, result.delivered, result.share(),
+      run.fleet().checker.restarts.size(), static_cast<long long>(run.fleet().checker.lag / kMs),
+      result.violations.size());
+  for (const auto& line : result.violations) std::printf("  %s\n", line.c_str());
+  if (!result.violations.empty() || !options.logs.empty()) {
     for (const auto& line : run.steps()) std::printf("  %s\n", line.c_str());
     const std::filesystem::path folder = options.logs.empty() ? "fault-soak-logs" : options.logs;
     std::filesystem::create_directories(folder);
@@ -323,7 +326,7 @@
     }
   }
   std::fflush(stdout);
-  return result.broken.empty();
+  return result.violations.empty();
 }
 
 Options read_options(int count, char** words) {
--- a/tests/form.hpp
+++ b/tests/form.hpp
@@ -13,14 +13,14 @@
 
 namespace cedarplank::testing {
 
-class Standins {
+class StandinThread {
  public:
   // `centres`: the destinations are message centres, and all kinds use SMPP.
-  explicit Standins(bool centres = false) : centres_(centres) {
+  explicit StandinThread(bool centres = false) : centres_(centres) {
     std::string name = (std::filesystem::temp_directory_path() / "cedarplank-form-XXXXXX").string();
     folder_ = mkdtemp(name.data());
   }
-  ~Standins() {
+  ~StandinThread() {
     if (thread_.joinable()) loop_.stop(), thread_.join();
     destinations_.clear();
     std::error_code ignored;
@@ -30,15 +30,15 @@
   // To be called before start(). With an empty script every message is served.
   void add(const std::string& destination, const std::string& script, const std::string& kind = "plain") {
     standin::DestinationSettings d;
-    d.name = destination, d.place = Service::quick(), d.smpp = centres_;
-    d.place.tells_wait = tells_wait;
+    d.name = destination, d.capacity = Service::quick(), d.smpp = centres_;
+    d.capacity.tells_wait = tells_wait;
     std::istringstream in(script.empty() ? "201" : script);
     for (std::string w; in >> w;) d.answers.push_back(w);
     standin::EndpointSettings settings;
     settings.id = destination + "-1", settings.streams_max = 1000;
     d.endpoints.push_back(settings);
     destinations_.push_back(std::make_unique<standin::Destination>(
-        loop_, d, [this](record::Record&& r) { calls_ += r.what == "HEADERS" && !r.sent; },
+        loop_, d, [this](record::CaptureRecord&& r) { calls_ += r.what == "HEADERS" && !r.sent; },
         [this](const standin::Effect& effect) {
           const std::lock_guard lock(mutex_);
           effects_[effect.destination + "/" + effect.message]++;
@@ -47,18 +47,18 @@
     config::PartnerEndpoint e;
     e.id = settings.id, e.destination = destination, e.path = "/push", e.kind = kind == "plain" ? 0 : 1;
     e.address = destinations_.back()->endpoints()[0]->address();
-    list_.endpoints.push_back(e);
+    endpoint_list_.endpoints.push_back(e);
   }
   void start() {
     config::Names names;
     names.kinds = {"plain", "unseen"};
-    std::ofstream(folder_ + "/partners.yaml") << config::write_partners(list_, names);
+    std::ofstream(folder_ + "/partners.yaml") << config::write_partners(endpoint_list_, names);
     thread_ = std::thread([this] { loop_.run(); });
   }
   std::string settings_file(const std::string& more = "") {
     // Shared by all settings files, because they are compared.
     static const auto hash = sms::hash_password("secret", 1000);
-    const std::string file = folder_ + "/relay" + std::to_string(++files_) + ".yaml";
+    const std::string file = folder_ + "/relay" + std::to_string(++settings_files_) + ".yaml";
     std::ofstream(file) << "relay: {listen: \"127.0.0.1:0\", seed: 1, drain_within: 400ms"
                         << (more.empty() ? "" : ", ") << more
                         << "}\n"
@@ -94,12 +94,12 @@
   loop::Loop loop_;
   std::string folder_;
   std::vector<std::unique_ptr<standin::Destination>> destinations_;
-  config::PartnerList list_;
+  config::PartnerList endpoint_list_;
   std::atomic<int> calls_{0};
   std::mutex mutex_;
   std::map<std::string, int> effects_;  // guarded by mutex_
   std::thread thread_;
-  int files_ = 0;
+  int settings_files_ = 0;
 };
 
 }  // namespace cedarplank::testing
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -16,7 +16,7 @@
 constexpr Time kMs = 1'000, kS = 1'000'000;
 
 // Settings with a safe, an unsafe and a keyed class, in the order of `Class`.
-inline Settings plain() {
+inline Settings default_settings() {
   Settings s;
   s.classes = {{.worth = 1, .late_worth = 0, .aim = 1 * kS, .deadline = 6 * kS, .effect = Effect::safe},
                {.worth = 3, .late_worth = 0.3, .aim = 2 * kS, .deadline = 20 * kS, .effect = Effect::unsafe},
@@ -47,9 +47,10 @@
 
 // Drives one dispatcher: keeps the clock, counts attempts, fires timers, and records the dispatcher's
 // actions.
-class Relay {
+class DispatcherHarness {
  public:
-  explicit Relay(const Settings& s = plain(), std::uint64_t seed = 1) : dispatcher_(s, seed) {}
+  explicit DispatcherHarness(const Settings& s = default_settings(), std::uint64_t seed = 1)
+      : dispatcher_(s, seed) {}
 
   // Passes the events to the dispatcher in one round.
   void round(std::vector<Event> events) {
@@ -73,7 +74,7 @@
       } else if (const auto* i = std::get_if<action::CloseIdle>(&a)) {
         idle_closed[i->endpoint].push_back(now);
       } else if (std::holds_alternative<action::Subscribe>(a)) {
-        asked.push_back(now);
+        subscribe_times.push_back(now);
       }
     }
   }
@@ -95,7 +96,7 @@
     a.id = ++last_id_;
     a.destination = destination;
     a.message_class = c;
-    a.time_left = left > 0 ? left : plain().classes[c].deadline;
+    a.time_left = left > 0 ? left : default_settings().classes[c].deadline;
     a.order_key = std::move(key);
     round({a});
     return a.id;
@@ -119,7 +120,7 @@
   // Runs for `span` in steps of 50 ms. `decide` gives the outcome, if any, of attempts that have been
   // outstanding for 100 ms or more. Messages arrive at `rate` per second.
   template <class Decide>
-  void live(Time span, double rate, Class c, DestinationId destination, Decide decide) {
+  void run_load(Time span, double rate, Class c, DestinationId destination, Decide decide) {
     const Time until = now + span;
     double due = 0;
     while (now < until) {
@@ -146,7 +147,7 @@
   std::vector<Sent> sent, out;  // all attempts; those outstanding
   std::map<MessageId, Time> refused, failed, cancelled;
   std::map<MessageId, Time> come_back;
-  std::vector<Time> asked;  // when the dispatcher asked for the list's changes
+  std::vector<Time> subscribe_times;  // when the dispatcher asked for the list's changes
   std::map<EndpointId, std::vector<Time>> idle_closed;
   std::vector<std::pair<Time, std::string>> notes;
 
--- a/tests/http1_test.cpp
+++ b/tests/http1_test.cpp
@@ -6,8 +6,8 @@
 namespace cedarplank::http1 {
 namespace {
 
-using Side = Reader::Side;
-using State = Reader::State;
+using Side = Parser::Side;
+using State = Parser::State;
 
 struct Read {
   State state;
@@ -16,14 +16,14 @@
   Message message;
 };
 Read read(Side side, const std::string& bytes, std::size_t piece) {
-  Reader r(side);
+  Parser r(side);
   std::size_t at = 0;
   while (at < bytes.size() && r.state() != State::complete && r.state() != State::broken) {
-    const auto n = r.take(std::string_view(bytes).substr(at, piece));
+    const auto n = r.consume(std::string_view(bytes).substr(at, piece));
     at += n;
     if (n == 0) break;
   }
-  return {r.state(), r.status(), at, r.message()};
+  return {r.state(), r.error_status(), at, r.message()};
 }
 
 std::string post(const std::string& fields, const std::string& body = "") {
@@ -111,57 +111,57 @@
   EXPECT_EQ(r.message.status, 503);
   EXPECT_FALSE(r.message.has("link"));
   EXPECT_EQ(read(Side::responses, "HTTP/1.1 204 \r\nContent-Length: 7\r\n\r\n", 5).state, State::complete);
-  Reader open(Side::responses);
-  open.take("HTTP/1.1 200 OK\r\n\r\nall of it");
+  Parser open(Side::responses);
+  open.consume("HTTP/1.1 200 OK\r\n\r\nall of it");
   EXPECT_EQ(open.state(), State::body);
-  open.end();
+  open.end_of_input();
   EXPECT_EQ(open.state(), State::complete);
   EXPECT_EQ(open.message().body, "all of it");
   EXPECT_TRUE(open.message().close);
-  Reader endless(Side::responses);
-  for (int i = 0; i < 40; i++) endless.take("HTTP/1.1 102 P\r\n\r\n");
+  Parser endless(Side::responses);
+  for (int i = 0; i < 40; i++) endless.consume("HTTP/1.1 102 P\r\n\r\n");
   EXPECT_EQ(endless.state(), State::broken);
 }
 
 TEST(Http1, SpoiltAnswersAreBoundedAndTellTheirFirstLine) {
-  Reader r(Side::responses);
-  r.take("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n");
+  Parser r(Side::responses);
+  r.consume("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n");
   EXPECT_EQ(r.state(), State::broken);
-  EXPECT_EQ(r.first_line(), 200);
-  Reader head(Side::responses);
-  head.take("HTTP/1.1 200 OK\r\n");
+  EXPECT_EQ(r.response_status(), 200);
+  Parser head(Side::responses);
+  head.consume("HTTP/1.1 200 OK\r\n");
   std::size_t taken = 0;
   for (int i = 0; i < 10'000 && head.state() != State::broken; i++)
-    taken += head.take("X-More: and more\r\n");
+    taken += head.consume("X-More: and more\r\n");
   EXPECT_EQ(head.state(), State::broken);
   EXPECT_LT(taken, 20'000u);
-  EXPECT_EQ(head.first_line(), 200);
+  EXPECT_EQ(head.response_status(), 200);
   for (const char* noise : {"HTTP/1.1 2000 OK\r\n", "HTTP/1.1 20\r\n", "ICY 200 OK\r\n", "HTTP/1.1 099 x\r\n",
                             "\x01\x02\x03\r\n", "HTTP/1.1 101 Switching\r\n\r\n"}) {
-    Reader n(Side::responses);
-    n.take(noise);
+    Parser n(Side::responses);
+    n.consume(noise);
     EXPECT_EQ(n.state(), State::broken) << noise;
-    EXPECT_EQ(n.first_line(), 0) << noise;
+    EXPECT_EQ(n.response_status(), 0) << noise;
   }
-  Reader cut(Side::responses);
-  cut.take("HTTP/1.1 500 Oh\r\nContent-Length: 9\r\n\r\nhalf");
-  cut.end();
+  Parser cut(Side::responses);
+  cut.consume("HTTP/1.1 500 Oh\r\nContent-Length: 9\r\n\r\nhalf");
+  cut.end_of_input();
   EXPECT_EQ(cut.state(), State::broken);
 }
 
 TEST(Http1, SecondsAreDigitsWithAtMostOnePoint) {
   std::int64_t us = 0;
-  EXPECT_TRUE(seconds_of("0.480", us));
+  EXPECT_TRUE(parse_seconds("0.480", us));
   EXPECT_EQ(us, 480'000);
-  EXPECT_TRUE(seconds_of("2", us));
+  EXPECT_TRUE(parse_seconds("2", us));
   EXPECT_EQ(us, 2'000'000);
-  EXPECT_TRUE(seconds_of("99999999999999999999", us));
+  EXPECT_TRUE(parse_seconds("99999999999999999999", us));
   EXPECT_EQ(us, 172'800'000'000);
   for (const char* bad : {"", "-1", "+1", "1e3", "nan", "inf", ".5", "1.", "1.2.3", " 1", "0x10", "1,5"})
-    EXPECT_FALSE(seconds_of(bad, us)) << bad;
-  EXPECT_EQ(seconds_text(1'500'000), "1.500");
-  EXPECT_EQ(seconds_text(1), "0.001");
-  EXPECT_EQ(seconds_text(0), "0.000");
+    EXPECT_FALSE(parse_seconds(bad, us)) << bad;
+  EXPECT_EQ(format_seconds(1'500'000), "1.500");
+  EXPECT_EQ(format_seconds(1), "0.001");
+  EXPECT_EQ(format_seconds(0), "0.000");
 }
 
 }  // namespace
--- a/tests/http2_test.cpp
+++ b/tests/http2_test.cpp
@@ -179,12 +179,12 @@
   Headers out;
   e.encode({{"a", "b"}}, block);
   ASSERT_EQ(d.decode(block, 4096, out), HpackDecoder::Result::ok);
-  d.set_limit(0);
+  d.set_table_size_limit(0);
   out.clear();
   // Section 4.2: the block has to begin with a size update.
   EXPECT_EQ(d.decode("\x82", 4096, out), HpackDecoder::Result::error);
-  e.set_limit(0);
-  e.set_limit(100);
+  e.set_table_size_limit(0);
+  e.set_table_size_limit(100);
   block.clear(), out.clear();
   e.encode({{"a", "b"}}, block);
   HpackDecoder fresh;
@@ -239,7 +239,7 @@
   p.server.limit_streams(1);
   p.run();
   EXPECT_EQ(p.client.peer_max_streams(), 1u);
-  EXPECT_EQ(p.server.streams(), 3u);  // open streams are not affected
+  EXPECT_EQ(p.server.open_streams(), 3u);  // open streams are not affected
   ASSERT_TRUE(p.server.respond(1, kCreated, "") && p.server.respond(3, kCreated, ""));
   p.run();
   EXPECT_FALSE(p.client.can_request());
@@ -254,7 +254,7 @@
   p.server.limit_streams(1);
   p.run();
   EXPECT_EQ(count(p.at_client, Type::reset), 0u);
-  EXPECT_EQ(p.server.streams(), 3u);
+  EXPECT_EQ(p.server.open_streams(), 3u);
 }
 
 // A client that receives a reset together with the response may drop the response. So short request bodies
@@ -275,8 +275,8 @@
     p.run();
     EXPECT_EQ(count(p.at_client, Type::reset), 0u);  // the response remains valid
     EXPECT_EQ(body_of(p.at_server, id).size() < size, size > 64 * 1024);
-    EXPECT_EQ(p.client.unsent_body(), 0u);
-    EXPECT_EQ(p.client.streams() + p.server.streams(), 0u);
+    EXPECT_EQ(p.client.unsent_body_bytes(), 0u);
+    EXPECT_EQ(p.client.open_streams() + p.server.open_streams(), 0u);
     EXPECT_FALSE(p.client.failed() || p.server.failed());
   }
 }
@@ -300,11 +300,11 @@
   p.run();
   const std::string large(300'000, 'x'), other(200'000, 'y');
   const auto a = p.client.request(kRequest, large), b = p.client.request(kRequest, other);
-  EXPECT_GT(p.client.unsent_body(), 300'000u);  // held back by the flow-control windows
+  EXPECT_GT(p.client.unsent_body_bytes(), 300'000u);  // held back by the flow-control windows
   p.run(1000);
   EXPECT_EQ(body_of(p.at_server, a), large);
   EXPECT_EQ(body_of(p.at_server, b), other);
-  EXPECT_EQ(p.client.unsent_body(), 0u);
+  EXPECT_EQ(p.client.unsent_body_bytes(), 0u);
 }
 
 // A server connection whose input the test writes as raw frames.
@@ -312,7 +312,7 @@
   Connection server;
   std::vector<Event> events;
   explicit Raw(const LocalSettings& s = {}, const Limits& l = {}) : server(Role::server, s, l) {
-    send(std::string(kPreface)), frame(FrameType::settings, 0, 0, "");
+    send(std::string(kClientPreface)), frame(FrameType::settings, 0, 0, "");
   }
   void send(std::string_view bytes) { server.receive(1, bytes, events); }
   void frame(FrameType type, std::uint8_t flags, StreamId stream, std::string_view payload) {
@@ -429,7 +429,7 @@
   events.clear();
   client.receive(1, "HTTP/1.1 400 Bad Request\r\n\r\n", events);
   EXPECT_TRUE(client.failed());
-  EXPECT_FALSE(client.standing());
+  EXPECT_FALSE(client.established());
 }
 
 TEST(Http2, MalformedRequestsResetTheirStreamOnly) {
@@ -518,14 +518,14 @@
   r.open(1);
   r.server.take_output();
   ASSERT_TRUE(r.server.respond(1, kCreated, std::string(100'000, 'z')));
-  EXPECT_EQ(r.server.unsent_body(), 100'000u - 65'535u);
+  EXPECT_EQ(r.server.unsent_body_bytes(), 100'000u - 65'535u);
   r.frame(FrameType::settings, 0, 0, std::string("\0\4", 2) + u32(1000));  // stream window now -64,535
   r.frame(FrameType::window_update, 0, 0, u32(1'000'000));
-  EXPECT_EQ(r.server.unsent_body(), 34'465u);
+  EXPECT_EQ(r.server.unsent_body_bytes(), 34'465u);
   r.frame(FrameType::window_update, 0, 1, u32(64'535));  // now 0: still nothing sent
-  EXPECT_EQ(r.server.unsent_body(), 34'465u);
+  EXPECT_EQ(r.server.unsent_body_bytes(), 34'465u);
   r.frame(FrameType::window_update, 0, 1, u32(34'465));
-  EXPECT_EQ(r.server.unsent_body(), 0u);
+  EXPECT_EQ(r.server.unsent_body_bytes(), 0u);
   EXPECT_TRUE(r.server.idle());
 }
 
@@ -542,7 +542,7 @@
   EXPECT_FALSE(p.server.respond(43, kCreated, ""));
   p.run();
   EXPECT_EQ(count(p.at_client, Type::headers), 1u);
-  EXPECT_EQ(p.client.streams(), 20u);
+  EXPECT_EQ(p.client.open_streams(), 20u);
 }
 
 TEST(Http2, ResetByEitherSideAndFramesThatCross) {
--- a/tests/journal_crash_test.cpp
+++ b/tests/journal_crash_test.cpp
@@ -45,7 +45,7 @@
   Time now = 1 * kS, told_until = 0;
   bool told_durable = false;
   int told_run = 0, run = 0;
-  journal::WaitsFor waits;
+  journal::DurabilityWaits waits;
   std::vector<std::string> violations;
   void report(std::size_t m, const std::string& why) {
     violations.push_back("message " + std::to_string(m) + ", run " + std::to_string(run) + ": " + why);
@@ -54,50 +54,53 @@
 
 // One run of the relay, until all messages are answered or the machine crashes.
 class RelayRun final : public relay::Transport,
-                       public relay::Answers,
+                       public relay::AnswerSink,
                        public relay::ListSource,
-                       public relay::Notes,
+                       public relay::PeerChannel,
                        public relay::Log {
  public:
   explicit RelayRun(Environment& o) : o_(o), log_(o.files, log_settings(), 7) {
     o_.run++;
-    journal::Image image;
+    journal::StateImage image;
     const auto opened = log_.open([&](store::Sequence s, std::string_view bytes) {
       journal::Record r;
       EXPECT_EQ(journal::decode(bytes, r), "");
       image.apply(s, r);
     });
     EXPECT_FALSE(opened.problem) << opened.problem->text;
-    const auto base = journal::begin(image, {"boot", o_.now, o_.now});
+    const auto base = journal::make_base(image, {"boot", o_.now, o_.now});
     const auto found = journal::recover(
         image, o_.now,
         {.destination = [](const std::string&) { return DestinationId{0}; },
          .message_class = [](const std::string& name) { return std::optional<int>(name[0] - 'a'); },
          .tenant = [](const std::string&) { return std::optional<int>(); }});
     next_id_ = image.next_id();
-    journal::KeeperSettings k;
+    journal::JournalCoordinatorSettings k;
     k.classes = settings().classes, k.class_names = {"a", "b", "c"};
-    k.window = 3'000;
-    keeper_ = std::make_unique<journal::Keeper>(
+    k.window_bytes = 3'000;
+    keeper_ = std::make_unique<journal::JournalCoordinator>(
         k, std::move(image),
-        journal::Keeper::Ports{.transport = *this,
-                               .answers = *this,
-                               .destination = [](DestinationId) { return std::string("d"); },
-                               .append = [this](const std::string& bytes) -> journal::Sequence {
-                                 const auto s = log_.next();
-                                 return log_.append(bytes) == store::Log::Appended::yes ? s : 0;
-                               },
-                               .release = [this](journal::Sequence upto) { log_.release(upto); },
-                               .unsent = {}},
+        journal::JournalCoordinator::Ports{.transport = *this,
+                                           .answers = *this,
+                                           .destination_name = [](DestinationId) { return std::string("d"); },
+                                           .append = [this](const std::string& bytes) -> journal::Sequence {
+                                             const auto s = log_.next();
+                                             return log_.append(bytes) == store::Log::AppendResult::appended
+                                                        ? s
+                                                        : 0;
+                                           },
+                                           .release = [this](journal::Sequence upto) { log_.release(upto); },
+                                           .call_dropped = {}},
         o_.waits);
     core_ = std::make_unique<relay::Core>(
         settings(), relay::make_dispatcher(settings(), 1),
         relay::Core::Ports{*keeper_, *keeper_, *this, *this, *this, nullptr, keeper_.get()});
-    keeper_->begin(base, o_.now);
+    keeper_->write_base(base, o_.now);
     core_->list_whole({{"e1", 0, 0, 0, Listing::active, 1, 0}, {"e2", 0, 0, 0, Listing::active, 1, 0}},
                       false);
-    for (const auto& w : found.known) core_->known(w);
-    for (const auto& m : found.messages) core_->restore(o_.now, m.id, m.message, m.deadline, m.before);
+    for (const auto& w : found.known_endpoints) core_->restore_endpoint(w);
+    for (const auto& m : found.messages)
+      core_->restore(o_.now, m.id, m.message, m.deadline, m.prior_attempts);
     ask_again();
   }
 
@@ -117,15 +120,15 @@
         end(id, call);
         commit();
       }
-      core_->turn(o_.now);
+      core_->run_due(o_.now);
       commit();
-      keeper_->tidy(o_.now, 5);
+      keeper_->compact(o_.now, 5);
     }
     EXPECT_TRUE(all_answered()) << "a message has no final answer";
   }
 
   // relay::Transport
-  void send(const relay::CallOrder& order) override {
+  void send(const relay::OutgoingCall& order) override {
     const std::size_t m = number(*order.message);
     auto& message = o_.messages[m];
     if (message.final != 0) o_.report(m, "rule 1: sent after its final answer");
@@ -140,18 +143,18 @@
     }
     calls_[order.id] = call;
   }
-  Recalled cancel(relay::CallId id) override {
+  CancelResult cancel(relay::CallId id) override {
     calls_.erase(id);
-    return Recalled::sent;
+    return CancelResult::sent;
   }
   bool take_back(relay::CallId) override { return false; }
   std::vector<relay::CallId> recall(const EndpointId&) override { return {}; }
   void close_idle(const EndpointId&) override {}
   void probe(const EndpointId&) override {}
   // relay::Answers
-  void served(MessageId id, const relay::Ending&) override { answer(id, 's'); }
-  void refused(MessageId id, Time, const relay::Account&) override { answer(id, 'r'); }
-  void failed(MessageId id, const relay::Account&) override { answer(id, 'f'); }
+  void served(MessageId id, const relay::CallResult&) override { answer(id, 's'); }
+  void refused(MessageId id, Time, const relay::AttemptSummary&) override { answer(id, 'r'); }
+  void failed(MessageId id, const relay::AttemptSummary&) override { answer(id, 'f'); }
   void fetch() override {}
   void subscribe(bool) override {}
   void tell(int, const std::string&) override {}
@@ -165,7 +168,7 @@
   };
   static store::LogSettings log_settings() {
     store::LogSettings s;
-    s.segment = 4'096, s.segments_max = 64, s.spare_max = 1, s.record_max = 2'000;
+    s.segment_size = 4'096, s.segments_max = 64, s.spares_max = 1, s.record_size_max = 2'000;
     return s;
   }
   static std::size_t number(const relay::NewMessage& m) { return std::stoul(m.idempotency_key); }
@@ -173,7 +176,7 @@
   void commit() {
     ASSERT_FALSE(log_.commit());
     if (o_.told_run == o_.run) o_.told_durable = true;
-    keeper_->durable(log_.durable());
+    keeper_->mark_durable(log_.durable());
   }
   void hand_in(std::size_t i) {
     auto& m = o_.messages[i];
@@ -181,8 +184,8 @@
     message.message_class = m.cls, message.time_left = 10 * kS;
     message.idempotency_key = std::to_string(i), message.body = std::string(100, 'b');
     m.id = next_id_++;
-    ASSERT_EQ(core_->take(o_.now, m.id, std::move(message)), relay::Core::Taken::yes);
-    keeper_->when_taken(m.id, [this, i] { o_.messages[i].acknowledged = true; });
+    ASSERT_EQ(core_->accept(o_.now, m.id, std::move(message)), relay::Core::AcceptStatus::accepted);
+    keeper_->when_durable(m.id, [this, i] { o_.messages[i].acknowledged = true; });
   }
   // Clients ask, under their keys, for the answers that they don't have yet.
   void ask_again() {
@@ -196,7 +199,7 @@
       m.id = id ? *id : 0;
       if (!kept) continue;
       static constexpr char kVerdicts[] = {'s', 'r', 'f'};
-      deliver(i, kVerdicts[static_cast<int>(keeper_->image().answers().at(*id).is.verdict)]);
+      deliver(i, kVerdicts[static_cast<int>(keeper_->image().answers().at(*id).answered.verdict)]);
     }
   }
   void end(relay::CallId id, const Call& call) {
@@ -230,7 +233,7 @@
 
   Environment& o_;
   store::Log log_;
-  std::unique_ptr<journal::Keeper> keeper_;
+  std::unique_ptr<journal::JournalCoordinator> keeper_;
   std::unique_ptr<relay::Core> core_;
   std::map<relay::CallId, Call> calls_;
   MessageId next_id_ = 1;
@@ -243,7 +246,7 @@
 // The machine crashes at the `first`th call that changes a file, and at the `second`th after that (0: no
 // crash).
 Played play(std::uint64_t seed, std::size_t first, std::size_t second, std::size_t short_writes,
-            journal::WaitsFor waits = {}) {
+            journal::DurabilityWaits waits = {}) {
   Environment o(seed);
   o.files.short_writes = short_writes, o.waits = waits;
   for (int i = 0; i < 18; i++) {
@@ -253,7 +256,7 @@
   }
   Played played;
   std::size_t until = first;
-  o.files.before = [&](const char*) -> std::error_code {
+  o.files.before_call = [&](const char*) -> std::error_code {
     played.calls++;
     if (until > 0 && --until == 0) throw Crash{};
     return {};
@@ -300,7 +303,7 @@
 
 // With one wait switched off some crash must show a violation.
 TEST(JournalCrash, EachMissingWaitShows) {
-  const auto shows = [](journal::WaitsFor waits) {
+  const auto shows = [](journal::DurabilityWaits waits) {
     for (std::uint64_t seed = 1; seed <= 6; seed++)
       for (std::size_t at = 1, calls = play(seed, 0, 0, 0).calls; at <= calls; at++)
         if (!play(seed, at, 0, 0, waits).violation.empty()) return true;
--- a/tests/journal_model_test.cpp
+++ b/tests/journal_model_test.cpp
@@ -15,20 +15,20 @@
 namespace cedarplank::testing {
 namespace {
 
-using journal::Keeper;
+using journal::JournalCoordinator;
 using Violation = std::string;  // number of the rule, and how it is violated; empty: none
 
 // What is explored.
 struct Plan {
   std::vector<Effect> messages;  // one message for each entry
   int attempts = 2, crashes = 2;
-  journal::WaitsFor waits = {};
+  journal::DurabilityWaits waits = {};
   bool forget_waits = false;  // fault: recovery does not pass on told waits
   bool no_recall = false;     // fault: a told wait does not cancel sends that wait for the journal
 };
 
 // One path: the system with everything around it, advanced step by step.
-class Simulation final : public relay::Transport, public relay::Answers {
+class Simulation final : public relay::Transport, public relay::AnswerSink {
  public:
   // kind: t hand in a message, s send an attempt, r refuse, f fail, g give the attempt up, p the partner
   // performs the effect, e the call ends (b: how), c commit, x crash (a: records kept), w the told wait
@@ -88,8 +88,8 @@
         c.id = id;
         held_[id] = {s.a, 0, false, 0};
         keeper_->taken(id, message, 10'000);
-        keeper_->when_taken(id,
-                            [this, m = s.a] { clients_[static_cast<std::size_t>(m)].acknowledged = true; });
+        keeper_->when_durable(id,
+                              [this, m = s.a] { clients_[static_cast<std::size_t>(m)].acknowledged = true; });
         break;
       }
       case 's': {
@@ -112,7 +112,7 @@
       case 'g': {
         auto& m = held_.at(static_cast<MessageId>(s.a));
         const auto how = keeper_->cancel(m.out);
-        end(m.out, how == Recalled::sent ? Outcome::timeout : Outcome::not_sent, 0);
+        end(m.out, how == CancelResult::sent ? Outcome::timeout : Outcome::not_sent, 0);
         break;
       }
       case 'p': {
@@ -156,7 +156,7 @@
   std::string state() const {
     std::ostringstream o;
     // Of the durable records only the resulting state matters; of the others each record does.
-    journal::Image image;
+    journal::StateImage image;
     journal::Record r;
     for (std::size_t i = 0; i < log_.size(); i++) {
       if (i < durable_)
@@ -164,8 +164,8 @@
       else
         o << log_[i] << '\n';
     }
-    for (const auto& [id, h] : image.held()) o << id << journal::encode({0, h.now}) << '\n';
-    for (const auto& [id, h] : image.answers()) o << id << journal::encode({0, h.is}) << '\n';
+    for (const auto& [id, h] : image.held()) o << id << journal::encode({0, h.state}) << '\n';
+    for (const auto& [id, h] : image.answers()) o << id << journal::encode({0, h.answered}) << '\n';
     o << image.waits().size() << '.' << image.next_id() << '|';
     for (const auto& c : clients_)
       o << c.id << c.acknowledged << c.finals << c.refused << static_cast<char>('a' + c.effects) << c.verdict
@@ -177,24 +177,24 @@
   }
 
   // relay::Transport
-  void send(const relay::CallOrder& order) override {
+  void send(const relay::OutgoingCall& order) override {
     const int m = order.message->message_class;
     calls_[order.id] = {m, false, false, true};
     if (clients_[static_cast<std::size_t>(m)].finals > 0) violation = "1: sent after the final answer";
     if (told_ && (heard_ || wait_survived_)) violation = "6: sent while told to wait";
   }
-  Recalled cancel(relay::CallId call) override {
+  CancelResult cancel(relay::CallId call) override {
     calls_.at(call).ours = false;
-    return Recalled::sent;
+    return CancelResult::sent;
   }
   bool take_back(relay::CallId) override { return false; }
   std::vector<relay::CallId> recall(const EndpointId&) override { return {}; }
   void close_idle(const EndpointId&) override {}
   void probe(const EndpointId&) override {}
   // relay::Answers
-  void served(MessageId id, const relay::Ending&) override { answer(id, 's'); }
-  void refused(MessageId id, Time, const relay::Account&) override { answer(id, 'r'); }
-  void failed(MessageId id, const relay::Account&) override { answer(id, 'f'); }
+  void served(MessageId id, const relay::CallResult&) override { answer(id, 's'); }
+  void refused(MessageId id, Time, const relay::AttemptSummary&) override { answer(id, 'r'); }
+  void failed(MessageId id, const relay::AttemptSummary&) override { answer(id, 'f'); }
 
  private:
   struct Client {  // client of one message
@@ -239,24 +239,24 @@
     if (outcome == Outcome::served) {
       held_.erase(it);
       keeper_->served(message, {});
-    } else if (!relay::proves_unrun(outcome)) {
+    } else if (!relay::proves_not_run(outcome)) {
       it->second.ran = true;
     }
   }
 
   void commit(std::size_t upto) {
     durable_ = upto;
-    keeper_->durable(durable_);
+    keeper_->mark_durable(durable_);
   }
 
   void start() {
-    journal::Image image;
+    journal::StateImage image;
     for (std::size_t i = 0; i < log_.size(); i++) {
       journal::Record r;
       EXPECT_EQ(journal::decode(log_[i], r), "");
       image.apply(i + 1, r);
     }
-    journal::KeeperSettings settings;
+    journal::JournalCoordinatorSettings settings;
     for (const auto effect : plan_.messages) {
       ClassSettings cls;
       cls.effect = effect;
@@ -264,30 +264,30 @@
       settings.class_names.push_back(std::string(1, static_cast<char>('A' + settings.class_names.size())));
     }
     next_id_ = image.next_id();
-    const auto base = journal::begin(image, {"boot", now_, 0});
+    const auto base = journal::make_base(image, {"boot", now_, 0});
     const auto found = journal::recover(
         image, now_,
         {.destination = [](const std::string&) { return DestinationId{0}; },
          .message_class = [](const std::string& name) { return std::optional<int>(name[0] - 'A'); },
          .tenant = [](const std::string&) { return std::optional<int>(); }});
-    keeper_ =
-        std::make_unique<Keeper>(settings, std::move(image),
-                                 Keeper::Ports{.transport = *this,
-                                               .answers = *this,
-                                               .destination = [](DestinationId) { return std::string("d"); },
-                                               .append =
-                                                   [this](std::string bytes) {
-                                                     log_.push_back(std::move(bytes));
-                                                     return log_.size();
-                                                   },
-                                               .release = [](journal::Sequence) {},
-                                               .unsent = [](relay::CallId, const relay::Ending&) {}},
-                                 plan_.waits);
-    keeper_->begin(base, now_);
+    keeper_ = std::make_unique<JournalCoordinator>(
+        settings, std::move(image),
+        JournalCoordinator::Ports{.transport = *this,
+                                  .answers = *this,
+                                  .destination_name = [](DestinationId) { return std::string("d"); },
+                                  .append =
+                                      [this](std::string bytes) {
+                                        log_.push_back(std::move(bytes));
+                                        return log_.size();
+                                      },
+                                  .release = [](journal::Sequence) {},
+                                  .call_dropped = [](relay::CallId, const relay::CallResult&) {}},
+        plan_.waits);
+    keeper_->write_base(base, now_);
     for (const auto& m : found.messages)
-      held_[m.id] = {m.message->message_class, m.before.attempts, m.before.ran_zone >= 0, 0};
+      held_[m.id] = {m.message->message_class, m.prior_attempts.attempts, m.prior_attempts.ran_zone >= 0, 0};
     wait_known_ = wait_survived_ = false;
-    for (const auto& k : found.known)
+    for (const auto& k : found.known_endpoints)
       if (k.wait_left > 0) wait_known_ = wait_survived_ = true;
     if (plan_.forget_waits) wait_known_ = false;
     wait_survived_ = wait_survived_ && told_;
@@ -309,7 +309,7 @@
       const auto kept_answer = id ? keeper_->image().answers().find(*id) : keeper_->image().answers().end();
       if (kept_answer != keeper_->image().answers().end()) {
         static constexpr char kVerdicts[] = {'s', 'r', 'f'};
-        deliver(c, kVerdicts[static_cast<int>(kept_answer->second.is.verdict)]);
+        deliver(c, kVerdicts[static_cast<int>(kept_answer->second.answered.verdict)]);
       } else if (c.finals > 0) {
         violation = id ? "1: held again after its final answer" : "1: the answer given is forgotten";
       } else if (!id) {
@@ -320,7 +320,7 @@
   }
 
   const Plan plan_;
-  std::unique_ptr<Keeper> keeper_;
+  std::unique_ptr<JournalCoordinator> keeper_;
   std::vector<std::string> log_;
   std::size_t durable_ = 0;
   std::vector<Client> clients_;
@@ -383,7 +383,7 @@
 }
 
 TEST(JournalModel, EachPlantedMistakeIsFound) {
-  const auto violation = [](journal::WaitsFor waits, bool forget,
+  const auto violation = [](journal::DurabilityWaits waits, bool forget,
                             std::vector<Effect> messages = {Effect::unsafe}) {
     return explore({std::move(messages), 2, 2, waits, forget}).violation;
   };
--- a/tests/journal_service_test.cpp
+++ b/tests/journal_service_test.cpp
@@ -35,8 +35,8 @@
     return client->push(path, body, more, method);
   }
   std::string answer(http2::StreamId stream) {
-    turn(s.loop, [&] { return client->answers.count(stream) > 0; });
-    rest(s.loop, 5 * kMs);
+    run_until(s.loop, [&] { return client->answers.count(stream) > 0; });
+    run_for(s.loop, 5 * kMs);
     return client->status(stream);
   }
   std::string get(const std::string& path, const char* method = "GET") {
@@ -62,8 +62,8 @@
   EXPECT_EQ(get(location).substr(0, 4), "202 ");
   EXPECT_NE(get(location).find("\"answer\":null"), std::string::npos);
   d.endpoints()[0]->end(standin::Fault::pause);
-  turn(s.loop, [&] { return s.effects_of("p1") == 1; });
-  turn(s.loop, [&] { return get(location).find("\"answer\":\"served\"") != std::string::npos; });
+  run_until(s.loop, [&] { return s.effects_of("p1") == 1; });
+  run_until(s.loop, [&] { return get(location).find("\"answer\":\"served\"") != std::string::npos; });
   restart();
   EXPECT_EQ(get(location).substr(0, 4), "200 ");
   EXPECT_NE(get(location).find("\"answer\":\"served\""), std::string::npos);
@@ -80,14 +80,14 @@
   start();
   d.endpoints()[0]->begin({.fault = standin::Fault::pause});
   const auto first = push("/push/bank/pay", "id=k1;class=pay;", "k1");
-  rest(s.loop, 50 * kMs);
+  run_for(s.loop, 50 * kMs);
   EXPECT_EQ(answer(push("/push/bank/pay", "id=k1;class=pay;", "k1")), "409");
   EXPECT_EQ(answer(push("/push/bank/pay", "id=other;class=pay;", "k1")), "422");
   // The client disconnects and connects again; the message is still being processed.
   client = std::make_unique<Client>(s.loop, s.node->address());
-  rest(s.loop, 20 * kMs);
+  run_for(s.loop, 20 * kMs);
   const auto again = push("/push/bank/pay", "id=k1;class=pay;", "k1");
-  rest(s.loop, 20 * kMs);
+  run_for(s.loop, 20 * kMs);
   EXPECT_EQ(client->answers.count(again), 0u);
   d.endpoints()[0]->end(standin::Fault::pause);
   EXPECT_EQ(answer(again), "201");
@@ -104,9 +104,9 @@
   // Both messages take effect, and no answer comes back for either.
   d.endpoints()[0]->begin({.fault = standin::Fault::answer_lost, .share = 1});
   push("/push/bank/pay", "id=out;class=pay;", "out");
-  turn(s.loop, [&] { return s.effects_of("out") == 1; });
+  run_until(s.loop, [&] { return s.effects_of("out") == 1; });
   push("/push/bank/status", "id=safe;class=status;", "safe");
-  turn(s.loop, [&] { return s.effects_of("safe") >= 1; });
+  run_until(s.loop, [&] { return s.effects_of("safe") >= 1; });
   d.endpoints()[0]->end(standin::Fault::answer_lost);
   restart();
   EXPECT_TRUE(logged("2 messages held"));
@@ -122,16 +122,16 @@
   start();
   for (auto& e : d.endpoints()) e->begin({.fault = standin::Fault::shut, .wait = 2 * kS});
   push("/push/bank/status", "id=w;class=status;", "w");
-  turn(s.loop, [&] { return s.calls() >= 1; });
-  rest(s.loop, 50 * kMs);
-  const Time told = s.loop.refresh();
+  run_until(s.loop, [&] { return s.calls() >= 1; });
+  run_for(s.loop, 50 * kMs);
+  const Time told = s.loop.refresh_now();
   for (auto& e : d.endpoints()) e->end(standin::Fault::shut);
   const auto before = s.calls();
   restart();
-  rest(s.loop, 1'500 * kMs);
+  run_for(s.loop, 1'500 * kMs);
   EXPECT_EQ(s.calls(), before);
-  turn(s.loop, [&] { return s.effects_of("w") == 1; });
-  EXPECT_GT(s.loop.refresh() - told, 1'700 * kMs);
+  run_until(s.loop, [&] { return s.effects_of("w") == 1; });
+  EXPECT_GT(s.loop.refresh_now() - told, 1'700 * kMs);
 }
 
 // When the journal's limit is reached the relay rejects new messages, delivers those it holds, and then
@@ -145,15 +145,15 @@
   for (int i = 0; i < 400; i++)
     streams.push_back(
         push("/push/bank/status", "id=b" + std::to_string(i) + ";" + std::string(1'500, 'x'), ""));
-  turn(s.loop, [&] { return s.node->core().counts().not_taken + s.node->core().held() == 400; });
-  EXPECT_GT(s.node->core().counts().not_taken, 0u);
+  run_until(s.loop, [&] { return s.node->core().counts().rejected + s.node->core().held() == 400; });
+  EXPECT_GT(s.node->core().counts().rejected, 0u);
   EXPECT_GT(s.node->core().held(), 50u);
   for (auto& e : d.endpoints()) e->end(standin::Fault::pause);
-  turn(s.loop, [&] { return client->answers.size() == streams.size(); });
+  run_until(s.loop, [&] { return client->answers.size() == streams.size(); });
   std::size_t served = 0;
   for (const auto id : streams) served += client->status(id) == "201";
-  EXPECT_EQ(served + s.node->core().counts().not_taken, 400u);
-  turn(s.loop, [&] { return s.node->journal()->turns_away() == nullptr; });
+  EXPECT_EQ(served + s.node->core().counts().rejected, 400u);
+  run_until(s.loop, [&] { return s.node->journal()->rejection_reason() == nullptr; });
   EXPECT_EQ(answer(push("/push/bank/status", "id=after;", "")), "201");
 }
 
@@ -168,14 +168,14 @@
   {
     auto files = store::open_folder(s.folder + "/journal");
     store::LogSettings settings;
-    settings.segment = 1 << 20;
+    settings.segment_size = 1 << 20;
     store::Log log(*files, settings, 5);
     log.open([](store::Sequence, std::string_view) {});
     const auto clock = node::clock_now();
     const auto write = [&](const journal::Record& r) {
-      ASSERT_EQ(log.append(journal::encode(r)), store::Log::Appended::yes);
+      ASSERT_EQ(log.append(journal::encode(r)), store::Log::AppendResult::appended);
     };
-    write({clock.monotonic, journal::record::Base{clock.boot, clock.monotonic, clock.wall, 1, 0, 1}});
+    write({clock.monotonic, journal::record::Base{clock.boot_id, clock.monotonic, clock.wall, 1, 0, 1}});
     for (MessageId id = 1; id <= 20'000; id++) {
       auto m = std::make_shared<relay::NewMessage>();
       m->body = "id=h" + std::to_string(id) + ";class=status;";
@@ -188,11 +188,11 @@
   }
   start();
   EXPECT_TRUE(logged("20000 messages held"));
-  turn(s.loop, [&] { return s.node->core().held() == 0; });
+  run_until(s.loop, [&] { return s.node->core().held() == 0; });
   const auto& counts = s.node->core().counts();
   EXPECT_EQ(counts.served + counts.refused + counts.failed, 20'000u);
   EXPECT_GT(counts.served, 15'000u);
-  EXPECT_EQ(d.place_of("bank-1").falls(), 0);
+  EXPECT_EQ(d.capacity_of("bank-1").overloads(), 0);
 }
 
 // A relay that is restarted again and again, each time before it has written a window of records: its log
@@ -209,9 +209,9 @@
     std::vector<http2::StreamId> streams;
     for (int i = 0; i < 60; i++)
       streams.push_back(push("/push/bank/status", "id=r;" + std::string(1'500, 'x'), ""));
-    turn(s.loop, [&] { return client->answers.size() == streams.size(); });
+    run_until(s.loop, [&] { return client->answers.size() == streams.size(); });
     for (const auto id : streams) EXPECT_EQ(client->status(id), "201") << "run " << run;
-    rest(s.loop, 250 * kMs);
+    run_for(s.loop, 250 * kMs);
     most = std::max(most, s.node->journal()->writer().segments());
   }
   EXPECT_LE(most, 4u);
@@ -223,7 +223,7 @@
   s.endpoint("bank-1").begin({.fault = standin::Fault::answer_lost, .share = 1});
   push("/push/bank/pay", "id=p;class=pay;", "p");
   push("/push/bank/notice", "id=n;class=notice;", "n");
-  turn(s.loop, [&] { return s.effects.size() >= 2; });
+  run_until(s.loop, [&] { return s.effects.size() >= 2; });
   auto& names = s.settings.names.classes;
   names[1] = "renamed";  // pay
   std::swap(names[2], names[0]);
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -25,58 +25,58 @@
   return t;
 }
 
-std::string text_of(const Image& image) {
+std::string text_of(const StateImage& image) {
   std::string text;
-  for (const auto& [id, h] : image.held()) text += encode({0, h.now}) + "\n";
-  for (const auto& [id, a] : image.answers()) text += encode({0, a.is}) + "\n";
-  for (const auto& [id, end] : image.remembered()) text += encode({0, end.as_record(id)}) + "\n";
+  for (const auto& [id, h] : image.held()) text += encode({0, h.state}) + "\n";
+  for (const auto& [id, a] : image.answers()) text += encode({0, a.answered}) + "\n";
+  for (const auto& [id, end] : image.delivered_answers()) text += encode({0, end.as_record(id)}) + "\n";
   for (const auto& [id, w] : image.waits()) text += encode({0, w.first}) + "\n";
   for (const auto& [id, h] : image.health()) text += encode({0, h.first}) + "\n";
   return text + std::to_string(image.next_id());
 }
 
 TEST(Image, AnEndThatWasHandedOverIsRememberedForItsTime) {
-  Image image;
+  StateImage image;
   image.apply(1, {1, record::Base{"boot", 1, 1, 1, 0, 1}});
   record::Answered answered;
   answered.id = 7, answered.verdict = record::Verdict::failed, answered.owner = "o", answered.fingerprint = 9;
   answered.until = kS, answered.remember = 5'000;
   image.apply(2, {10, taken(7, kS)});
   image.apply(3, {20, answered});
-  EXPECT_TRUE(image.remembered().empty());
+  EXPECT_TRUE(image.delivered_answers().empty());
   image.apply(4, {30, record::Gone{7}});
   EXPECT_TRUE(image.answers().empty());
-  ASSERT_EQ(image.remembered().count(7), 1u);
+  ASSERT_EQ(image.delivered_answers().count(7), 1u);
   // Reading only the rewritten record gives the same state.
-  Image later;
+  StateImage later;
   Record anew;
-  const auto bytes = encode({40, image.remembered().at(7).as_record(7)});
+  const auto bytes = encode({40, image.delivered_answers().at(7).as_record(7)});
   ASSERT_EQ(decode(bytes, anew), "");
   later.apply(1, anew);
-  ASSERT_EQ(later.remembered().count(7), 1u);
-  EXPECT_EQ(later.remembered().at(7).owner, "o");
-  EXPECT_EQ(later.remembered().at(7).fingerprint, 9u);
-  EXPECT_EQ(later.remembered().at(7).verdict, record::Verdict::failed);
+  ASSERT_EQ(later.delivered_answers().count(7), 1u);
+  EXPECT_EQ(later.delivered_answers().at(7).owner, "o");
+  EXPECT_EQ(later.delivered_answers().at(7).fingerprint, 9u);
+  EXPECT_EQ(later.delivered_answers().at(7).verdict, record::Verdict::failed);
   later.apply(2, {50, taken(7, kS)});
   EXPECT_TRUE(later.held().empty());
-  image.forget_ends(4'999, 10'000);
-  EXPECT_EQ(image.remembered().size(), 1u);
-  image.forget_ends(5'000, 10'000);
-  EXPECT_TRUE(image.remembered().empty());
-  later.forget_ends(0, 0);  // a limit of 0 bytes
-  EXPECT_EQ(later.oldest(), 0u);
-  EXPECT_EQ(later.bytes(), 0u);
+  image.expire_delivered_answers(4'999, 10'000);
+  EXPECT_EQ(image.delivered_answers().size(), 1u);
+  image.expire_delivered_answers(5'000, 10'000);
+  EXPECT_TRUE(image.delivered_answers().empty());
+  later.expire_delivered_answers(0, 0);  // a limit of 0 bytes
+  EXPECT_EQ(later.oldest_needed(), 0u);
+  EXPECT_EQ(later.approximate_bytes(), 0u);
   // An answer delivered after its time is up is not remembered.
   image.apply(5, {60, answered});
   image.apply(6, {5'001, record::Gone{7}});
-  EXPECT_TRUE(image.remembered().empty());
+  EXPECT_TRUE(image.delivered_answers().empty());
 }
 
 // Rewritten records replace all earlier ones: a log that begins with them gives the same state.
 TEST(Image, WhatIsCarriedStandsForAllBeforeIt) {
   std::mt19937_64 random(7);
   for (int round = 0; round < 50; round++) {
-    Image image;
+    StateImage image;
     Sequence next = 1;
     image.apply(next++, {1, record::Base{"boot", 1, 1, 1, 0, 1}});
     for (int i = 0; i < 300; i++) {
@@ -121,17 +121,17 @@
       image.apply(next++, r);
     }
     const auto before = text_of(image);
-    Image later;
-    const std::size_t items = image.items();
-    for (const Sequence from = next; image.oldest() < from;) {
-      const auto r = image.carried(400);
+    StateImage later;
+    const std::size_t items = image.item_count();
+    for (const Sequence from = next; image.oldest_needed() < from;) {
+      const auto r = image.oldest_item_record(400);
       Record again;
       ASSERT_EQ(decode(encode(r), again), "");
       image.apply(next, r), later.apply(next, again), next++;
     }
     EXPECT_EQ(text_of(image), before);
     EXPECT_EQ(text_of(later), before);
-    EXPECT_EQ(later.items(), items);
+    EXPECT_EQ(later.item_count(), items);
   }
 }
 
@@ -139,12 +139,12 @@
 // clock counts.
 TEST(Recovery, ClocksAcrossStarts) {
   const auto left = [](const Clock& now) {
-    Image image;
+    StateImage image;
     image.apply(1, {100 * kS, record::Base{"a", 100 * kS, 1'000 * kS, 1, 0, 1}});
     image.apply(2, {110 * kS, taken(1, 130 * kS)});  // 20 s were left at the last record
-    const auto base = begin(image, now);
+    const auto base = make_base(image, now);
     image.apply(3, {now.monotonic, base});
-    return image.held().at(1).now.deadline - now.monotonic;
+    return image.held().at(1).state.deadline - now.monotonic;
   };
   EXPECT_EQ(left({"a", 115 * kS, 1'015 * kS}), 15 * kS);
   EXPECT_EQ(left({"a", 115 * kS, 5 * kS}), 15 * kS);          // the wall clock was moved
@@ -157,7 +157,7 @@
   Record r;
   EXPECT_EQ(decode(std::string("\x10\x02", 2), r).substr(0, 5), "needs");  // least_reader 2
   EXPECT_EQ(decode(std::string("\xa2\x06\x00", 3), r), "");                // an unknown kind
-  EXPECT_TRUE(std::holds_alternative<record::Other>(r.what));
+  EXPECT_TRUE(std::holds_alternative<record::Unknown>(r.what));
   EXPECT_NE(decode("\xff\xff", r), "");
 }
 
@@ -170,7 +170,7 @@
   std::unique_ptr<store::Writer> writer;
   explicit WriterFixture(std::size_t segments = 16) {
     auto files = std::make_unique<FaultyFiles>(1);
-    files->before = [this](const char* call) -> std::error_code {
+    files->before_call = [this](const char* call) -> std::error_code {
       const std::string name = call;
       if (name == "sync") return {sync_error.load(), std::generic_category()};
       if (name == "write" || name == "allocate" || name == "create")
@@ -178,7 +178,7 @@
       return {};
     };
     store::WriterSettings s;
-    s.log.segment = 4'096, s.log.record_max = 1'000, s.log.segments_max = segments;
+    s.log.segment_size = 4'096, s.log.record_size_max = 1'000, s.log.segments_max = segments;
     writer = std::make_unique<store::Writer>(std::move(files), s, 1,
                                              store::Writer::Ports{[this](std::function<void()> f) {
                                                                     const std::lock_guard lock(mutex);
@@ -208,16 +208,16 @@
   store::Sequence last = 0;
   for (int i = 0; i < 100; i++) last = w.writer->append(std::string(100, 'a'));
   w.until([&] { return w.writer->durable() == last; });
-  EXPECT_TRUE(w.writer->room());
+  EXPECT_TRUE(w.writer->has_room());
   w.error = ENOSPC;
   for (int i = 0; i < 100; i++) last = w.writer->append(std::string(100, 'b'));
-  w.until([&] { return w.writer->state() == store::Writer::State::stuck; });
-  EXPECT_FALSE(w.writer->room());
+  w.until([&] { return w.writer->state() == store::Writer::State::blocked; });
+  EXPECT_FALSE(w.writer->has_room());
   EXPECT_NE(w.writer->problem().find("No space"), std::string::npos);
   EXPECT_LT(w.writer->durable(), last);
   w.error = 0;
-  w.until([&] { return w.writer->durable() == last && w.writer->state() == store::Writer::State::well; });
-  EXPECT_TRUE(w.writer->room());
+  w.until([&] { return w.writer->durable() == last && w.writer->state() == store::Writer::State::healthy; });
+  EXPECT_TRUE(w.writer->has_room());
 }
 
 TEST(Writer, AFailedSyncIsNeverTrustedAgain) {
@@ -228,19 +228,19 @@
   w.sync_error = 0;
   EXPECT_EQ(w.writer->append("b"), 0u);
   EXPECT_EQ(w.writer->durable(), 0u);
-  EXPECT_FALSE(w.writer->room());
+  EXPECT_FALSE(w.writer->has_room());
 }
 
 TEST(Writer, TheBoundStopsTakingAndReleasesMakeRoom) {
   WriterFixture w(8);
   store::Sequence last = 0;
-  while (w.writer->room()) last = w.writer->append(std::string(500, 'a'));
+  while (w.writer->has_room()) last = w.writer->append(std::string(500, 'a'));
   // The other half of the limit is for records that must still be written.
   for (int i = 0; i < 10; i++) last = w.writer->append(std::string(500, 'b'));
   w.until([&] { return w.writer->durable() == last; });
-  EXPECT_FALSE(w.writer->room());
+  EXPECT_FALSE(w.writer->has_room());
   w.writer->release(last);
-  w.until([&] { return w.writer->room(); });
+  w.until([&] { return w.writer->has_room(); });
 }
 
 }  // namespace
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -14,11 +14,11 @@
 const std::string kShortDay = std::string(SCENARIOS) + "/short-day.yaml";
 const std::string kHarvest = std::string(EXAMPLES) + "/lab/harvest.yaml";
 
-Cell run(const std::string& day, std::uint64_t seed, Policy policy = Policy::ours,
-         const std::vector<Override>& overrides = {}) {
-  WorldOptions options;
+RunResult run(const std::string& day, std::uint64_t seed, Policy policy = Policy::dispatcher,
+              const std::vector<Override>& overrides = {}) {
+  SimulationOptions options;
   options.policy = policy;
-  return cell_of(run_virtual(drawn_scenario(day, seed, overrides), options));
+  return run_result_of(run_simulation(draw_scenario(day, seed, overrides), options));
 }
 
 TEST(Draw, EqualSeedsGiveEqualDaysAndTheRangesAreKept) {
@@ -82,17 +82,17 @@
 TEST(Partner, ARepeatIsKnownWhenItArrivesHoweverLateTheFirstRuns) {
   emulator::DestinationSettings d;
   d.name = "d", d.key_window = 1'000'000, d.endpoints = {{.id = "e"}};
-  d.place.servers = 1, d.place.service = 5'000'000, d.place.service_cv = 0, d.place.queue = 10;
+  d.capacity.servers = 1, d.capacity.service = 5'000'000, d.capacity.service_cv = 0, d.capacity.queue = 10;
   emulator::Partner partner(d, 1);
   const auto call = [&](rig::Time at) {
     return partner.call("e", at, {.message = "m", .key = "k", .message_class = {}});
   };
   const auto first = call(0), repeat = call(900'000);
-  EXPECT_TRUE(first.runs);
-  EXPECT_FALSE(repeat.runs);
+  EXPECT_TRUE(first.takes_effect);
+  EXPECT_FALSE(repeat.takes_effect);
   EXPECT_EQ(repeat.status, 201);
   EXPECT_GT(repeat.at, 5'000'000);
-  EXPECT_TRUE(call(1'000'000).runs);  // after the key window it no longer counts as a repeat
+  EXPECT_TRUE(call(1'000'000).takes_effect);  // after the key window it no longer counts as a repeat
 }
 
 // Leaves free blocks of many sizes in the heap, so that later allocations get addresses in a different order.
@@ -112,9 +112,9 @@
   auto a = run(kHarvest, 4);
   scramble_heap(7);
   auto b = run(kHarvest, 4), c = run(kHarvest, 5);
-  a.values.erase("times_faster"), b.values.erase("times_faster");
-  EXPECT_EQ(a.values, b.values);
-  EXPECT_NE(a.values, c.values);
+  a.figures.erase("times_faster"), b.figures.erase("times_faster");
+  EXPECT_EQ(a.figures, b.figures);
+  EXPECT_NE(a.figures, c.figures);
   ASSERT_EQ(a.seconds.size(), b.seconds.size());
   for (std::size_t i = 0; i < a.seconds.size(); i++)
     EXPECT_EQ(a.seconds[i].served_by_class, b.seconds[i].served_by_class);
@@ -125,9 +125,10 @@
 TEST(World, OursKeepsTheRulesOnDrawnDays) {
   for (const char* relays : {"3", "30", "300"})
     for (std::uint64_t seed = 1; seed <= 8; seed++) {
-      const auto cell = run(kHarvest, seed, Policy::ours, {{"relays", relays}});
-      EXPECT_TRUE(cell.broken.empty()) << relays << " relays, seed " << seed << ": " << cell.broken.front();
-      EXPECT_GT(cell.values.at("served"), 0.5);
+      const auto cell = run(kHarvest, seed, Policy::dispatcher, {{"relays", relays}});
+      EXPECT_TRUE(cell.broken_rules.empty())
+          << relays << " relays, seed " << seed << ": " << cell.broken_rules.front();
+      EXPECT_GT(cell.figures.at("served"), 0.5);
     }
 }
 
@@ -136,7 +137,7 @@
 TEST(World, ABaselineThatKeepsNoWaitsNorOrderIsCaught) {
   const auto cell = run(kShortDay, 1, Policy::fixed);
   for (const char* rule : {"4 no push over", "5 order kept", "6 waits kept"})
-    EXPECT_TRUE(std::any_of(cell.broken.begin(), cell.broken.end(), [&](const auto& b) {
+    EXPECT_TRUE(std::any_of(cell.broken_rules.begin(), cell.broken_rules.end(), [&](const auto& b) {
       return b.find(rule) == 0;
     })) << rule;
 }
@@ -158,10 +159,10 @@
          "  - {at: 4s, for: 3s, trouble: shut, on: [d-1, d-3, d-4], wait: 2s}\n"
          "  - {at: 5s, for: 2s, trouble: goaway, on: [d-2]}\n"
          "  - {at: 8s, for: 1s, trouble: relay_stall, relay: 1}\n";
-  EXPECT_TRUE(shrink(day, 1, Policy::ours).broken.empty());
+  EXPECT_TRUE(shrink(day, 1, Policy::dispatcher).broken_rules.empty());
   const auto s = shrink(day, 1, Policy::exponential);
-  ASSERT_FALSE(s.broken.empty());
-  EXPECT_EQ(s.broken[0].find("6 waits kept"), 0u);
+  ASSERT_FALSE(s.broken_rules.empty());
+  EXPECT_EQ(s.broken_rules[0].find("6 waits kept"), 0u);
   EXPECT_EQ(s.troubles_before, 5u);
   EXPECT_EQ(s.troubles_after, 1u);
   // The minimized day can be run on its own and still breaks the rule.
@@ -169,12 +170,13 @@
   const auto again = rig::load_scenario(day);
   ASSERT_EQ(again.troubles.size(), 1u);
   EXPECT_EQ(again.troubles[0].on.size(), 1u);
-  EXPECT_FALSE(run(day, 1, Policy::exponential).broken.empty());
+  EXPECT_FALSE(run(day, 1, Policy::exponential).broken_rules.empty());
 }
 
 TEST(Experiment, RecordsComeBackAsTheyWereAndWrongOnesNameTheirFault) {
-  Plan plan;
-  plan.day = kShortDay, plan.seeds = {1, 2}, plan.policies = {Policy::ours, Policy::one_try}, plan.jobs = 3;
+  ExperimentPlan plan;
+  plan.day = kShortDay, plan.seeds = {1, 2}, plan.policies = {Policy::dispatcher, Policy::single_attempt},
+  plan.jobs = 3;
   plan.sweep = {{"load.rate", {"50/s", "100/s"}}};
   std::size_t told = 0;
   auto e = run_plan(plan, [&](std::size_t, std::size_t all) { told += all == 8; });
@@ -196,17 +198,17 @@
   const auto same = compare(e, back);
   EXPECT_EQ(same.find("beyond noise"), std::string::npos) << same;
   auto better = back;
-  for (auto& c : better.cells) c.values["served"] += 0.1 + 0.001 * static_cast<double>(c.seed);
+  for (auto& c : better.runs) c.figures["served"] += 0.1 + 0.001 * static_cast<double>(c.seed);
   EXPECT_NE(compare(e, better).find("beyond noise"), std::string::npos);
 }
 
 TEST(Experiment, ADayThatCannotRunSaysWhyAndTheOthersRun) {
-  Plan plan;
-  plan.day = kShortDay, plan.seeds = {1}, plan.policies = {Policy::ours};
+  ExperimentPlan plan;
+  plan.day = kShortDay, plan.seeds = {1}, plan.policies = {Policy::dispatcher};
   plan.sweep = {{"relays", {"2", "none"}}};
   const auto e = run_plan(plan, [](std::size_t, std::size_t) {});
-  EXPECT_TRUE(e.cells[0].error.empty());
-  EXPECT_NE(e.cells[1].error.find("relays"), std::string::npos) << e.cells[1].error;
+  EXPECT_TRUE(e.runs[0].error.empty());
+  EXPECT_NE(e.runs[1].error.find("relays"), std::string::npos) << e.runs[1].error;
 }
 
 TEST(Experiment, MeansCarryTheirInterval) {
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -141,7 +141,7 @@
 
 TEST(Net, BytesPassWholeThroughOneByteReadsAndWrites) {
   loop::Loop loop;
-  TcpStream::limit_io(1);
+  TcpStream::limit_io_size(1);
   std::unique_ptr<TcpStream> server;
   std::string got, why;
   Listener listener(loop, Address::parse("127.0.0.1:0"), [&](Fd fd) {
@@ -159,7 +159,7 @@
                     .drained = {},
                     .closed = {}});
   loop.run();
-  TcpStream::limit_io(0);
+  TcpStream::limit_io_size(0);
   EXPECT_EQ(got, text);
   EXPECT_EQ(why, "closed by the peer");
   EXPECT_EQ(client.flushed(), client.queued());
--- a/tests/platform_crossings_test.cpp
+++ b/tests/platform_crossings_test.cpp
@@ -6,7 +6,7 @@
 namespace cedarplank::platform::testing {
 namespace {
 
-class Crossings : public ::testing::Test, public World {
+class Crossings : public ::testing::Test, public PlatformFixture {
  protected:
   static std::string get(const std::string& target) {
     return "GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -15,26 +15,27 @@
 
 // The transport alone: the test orders and cancels calls as the core would, so that nothing else happens in
 // between.
-class EndpointsCrossings : public ::testing::Test, public World {
+class EndpointsCrossings : public ::testing::Test, public PlatformFixture {
  protected:
   void open(bool second_copies = true) {
-    transport = std::make_unique<Endpoints>(
-        loop, Endpoints::Bounds{8, 3'000'000, 5'000'000, second_copies},
-        Endpoints::Host{.ended = [this](relay::CallId c, relay::Ending e) { ends[c] = e; }, .log = {}});
+    transport = std::make_unique<EndpointTransport>(
+        loop, EndpointTransport::Bounds{8, 3'000'000, 5'000'000, second_copies},
+        EndpointTransport::Host{.ended = [this](relay::CallId c, relay::CallResult e) { ends[c] = e; },
+                                .log = {}});
     Catalogue list;
     list.whole = true;
     for (const auto& [name, e] : endpoints) {
-      platform::Listed l;
+      platform::ListedEndpoint l;
       l.endpoint.id = name, l.endpoint.destination = e.group, l.address = e.server->address();
       list.endpoints.push_back(l);
     }
-    transport->learn(list);
+    transport->apply_list(list);
   }
   void order(relay::CallId id, const std::string& name, Time timeout, std::uint64_t bundle = 1,
              Time time_left = 6'000'000, const std::string& key = "") {
     auto m = std::make_shared<relay::NewMessage>();
     m->owner = name, m->body = "hello", m->idempotency_key = key;
-    relay::CallOrder o;
+    relay::OutgoingCall o;
     o.id = id, o.endpoint = "s-1", o.message = m, o.timeout = timeout, o.bundle = bundle;
     o.time_left = time_left;
     transport->send(o);
@@ -42,15 +43,15 @@
   void keep_one_connection() {
     order(1000, "first", 1'000'000, 1000);
     transport->flush();
-    ASSERT_TRUE(until([&] { return ends.count(1000) > 0; }));
+    ASSERT_TRUE(run_until([&] { return ends.count(1000) > 0; }));
     ASSERT_EQ(transport->connections(), 1u);
   }
   ~EndpointsCrossings() override {
     transport.reset();
     loop.run_once(0);
   }
-  std::map<relay::CallId, relay::Ending> ends;
-  std::unique_ptr<Endpoints> transport;
+  std::map<relay::CallId, relay::CallResult> ends;
+  std::unique_ptr<EndpointTransport> transport;
 };
 
 // A message ends while the connection for its call is still being set up: the other messages are sent without
@@ -58,72 +59,72 @@
 TEST_F(Crossings, AMessageOverBeforeItsConnectionIsUpStaysOutOfTheCall) {
   const std::string was = R"("ConnectTimeout":500000)";
   settings.replace(settings.find(was), was.size(), R"("ConnectTimeout":4000000)");
-  add("b-1", 7, "big");
+  add_endpoint("b-1", 7, "big");
   start();
   Client a(*this), b(*this);
-  until([&] { return false; }, 20'000);  // connected
-  endpoints.at("b-1").server->shut_out();
-  a.hand_in("m-short", "order", 7, "0.4"), b.hand_in("m-long", "order", 7, "6.0");
+  run_until([&] { return false; }, 20'000);  // connected
+  endpoints.at("b-1").server->block_new_connections();
+  a.submit("m-short", "order", 7, "0.4"), b.submit("m-long", "order", 7, "6.0");
   ASSERT_EQ(a.status(), 202);
   ASSERT_EQ(b.status(), 202);
-  ASSERT_TRUE(until([&] { return noticed("m-short"); }));
+  ASSERT_TRUE(run_until([&] { return has_notice("m-short"); }));
   EXPECT_EQ(calls.size(), 0u);
-  endpoints.at("b-1").server->let_in();
-  ASSERT_TRUE(until([&] { return called("m-long") == 1; }));
-  EXPECT_EQ(called("m-short"), 0u);
+  endpoints.at("b-1").server->resume_accepting();
+  ASSERT_TRUE(run_until([&] { return call_count("m-long") == 1; }));
+  EXPECT_EQ(call_count("m-short"), 0u);
   // The endpoint gets the time that is left when the call is sent, not the time left when it was ordered.
   EXPECT_LT(std::stod(calls[0].budget), 5.9);
-  EXPECT_TRUE(until([&] { return relay->held() == 0; }));
+  EXPECT_TRUE(run_until([&] { return relay->held() == 0; }));
 }
 
 // Two messages are sent in one call, and one is cancelled before the last byte has left: the other is sent
 // alone.
 TEST_F(EndpointsCrossings, AMessageCalledOffBeforeTheLastByteIsNotInTheCall) {
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   open();
   keep_one_connection();
   order(1, "m-1", 1'000'000), order(2, "m-2", 1'000'000);
   transport->flush();  // writes all but the last byte before it returns
-  EXPECT_EQ(transport->cancel(1), relay::Transport::Recalled::waiting);
-  ASSERT_TRUE(until([&] { return ends.count(2) > 0; }));
+  EXPECT_EQ(transport->cancel(1), relay::Transport::CancelResult::queued);
+  ASSERT_TRUE(run_until([&] { return ends.count(2) > 0; }));
   EXPECT_EQ(ends.at(2).outcome, Outcome::served);
-  EXPECT_EQ(called("m-1"), 0u);
-  EXPECT_EQ(called("m-2"), 1u);
+  EXPECT_EQ(call_count("m-1"), 0u);
+  EXPECT_EQ(call_count("m-2"), 1u);
   EXPECT_EQ(ends.count(1), 0u);
 }
 
 TEST_F(EndpointsCrossings, AMessageThatIsOverTakesBackItsPartOfACallThatIsNotWhole) {
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   open();
   keep_one_connection();
   order(1, "m-1", 1'000'000), order(2, "m-2", 1'000'000);
   transport->flush();
   EXPECT_TRUE(transport->take_back(2));
-  ASSERT_TRUE(until([&] { return ends.count(1) > 0; }));
-  EXPECT_EQ(called("m-2"), 0u);
+  ASSERT_TRUE(run_until([&] { return ends.count(1) > 0; }));
+  EXPECT_EQ(call_count("m-2"), 0u);
   EXPECT_FALSE(transport->take_back(2));
 }
 
 // The message with the longest attempt timeout is named first: when its time is up, so is that of the others.
 TEST_F(EndpointsCrossings, TheMessageWaitedForLongestStandsFirst) {
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   open();
   order(1, "m-short", 500'000), order(2, "m-long", 2'000'000), order(3, "m-middle", 1'000'000);
   transport->flush();
-  ASSERT_TRUE(until([&] { return ends.size() == 3; }));
-  EXPECT_EQ(ids_of(calls.at(0)), (std::vector<std::string>{"m-long", "m-middle", "m-short"}));
+  ASSERT_TRUE(run_until([&] { return ends.size() == 3; }));
+  EXPECT_EQ(bulk_ids(calls.at(0)), (std::vector<std::string>{"m-long", "m-middle", "m-short"}));
   EXPECT_LE(std::stod(calls[0].budget), 2.0);
 }
 
 // Where a message stays with its call until its deadline, the time to the deadline decides and not the
 // attempt's timeout.
 TEST_F(EndpointsCrossings, WhereMessagesStayWithTheirCallTheOneWithMostTimeStandsFirst) {
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   open(false);
   order(1, "m-long-try", 2'000'000, 1, 2'500'000), order(2, "m-most-time", 500'000, 1, 6'000'000);
   transport->flush();
-  ASSERT_TRUE(until([&] { return ends.size() == 2; }));
-  EXPECT_EQ(ids_of(calls.at(0)), (std::vector<std::string>{"m-most-time", "m-long-try"}));
+  ASSERT_TRUE(run_until([&] { return ends.size() == 2; }));
+  EXPECT_EQ(bulk_ids(calls.at(0)), (std::vector<std::string>{"m-most-time", "m-long-try"}));
   EXPECT_GT(std::stod(calls[0].budget), 5.0);
 }
 
@@ -131,9 +132,9 @@
 // open, that message may still be executed too.
 TEST_F(EndpointsCrossings, WhereNoSecondCopyMayBeOutAMessageStaysWithItsCall) {
   for (const bool second_copies : {false, true}) {
-    add("s-1", 7);
+    add_endpoint("s-1", 7);
     int connection = 0;
-    answers["s-1"] = [&](const Call& call) {
+    endpoint_replies["s-1"] = [&](const Call& call) {
       connection = call.connection;
       return Server::Reply{};
     };
@@ -142,30 +143,30 @@
     order(1, "m-1", 1'000'000), order(2, "m-2", 2'000'000);
     order(3, "m-3", 0, 1, 0);  // its own time is up: it will not be sent again
     transport->flush();
-    ASSERT_TRUE(until([&] { return calls.size() == 1; }));
-    EXPECT_EQ(transport->cancel(1),
-              second_copies ? relay::Transport::Recalled::sent : relay::Transport::Recalled::kept);
-    EXPECT_EQ(transport->cancel(3), relay::Transport::Recalled::sent);
-    endpoints.at("s-1").server->write(connection, ok(calls[0]));
-    ASSERT_TRUE(until([&] { return ends.count(2) > 0; }));
+    ASSERT_TRUE(run_until([&] { return calls.size() == 1; }));
+    EXPECT_EQ(transport->cancel(1), second_copies ? relay::Transport::CancelResult::sent
+                                                  : relay::Transport::CancelResult::kept_in_bundle);
+    EXPECT_EQ(transport->cancel(3), relay::Transport::CancelResult::sent);
+    endpoints.at("s-1").server->write(connection, ok_answer(calls[0]));
+    ASSERT_TRUE(run_until([&] { return ends.count(2) > 0; }));
     EXPECT_EQ(ends.count(1), second_copies ? 0u : 1u);
     EXPECT_EQ(ends.count(3), 0u);
     transport.reset();
     loop.run_once(0);
-    endpoints.clear(), answers.clear();
+    endpoints.clear(), endpoint_replies.clear();
   }
 }
 
 // The endpoint closes its last idle connection, and the next call is ordered before the loop has polled it.
 TEST_F(EndpointsCrossings, TheLastIdleConnectionFoundClosedGivesWayToANewOne) {
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   open();
   keep_one_connection();
-  endpoints.at("s-1").server->down();
-  endpoints.at("s-1").server->again();
+  endpoints.at("s-1").server->stop();
+  endpoints.at("s-1").server->restart();
   order(2, "second", 1'000'000);
   transport->flush();
-  ASSERT_TRUE(until([&] { return ends.count(2) > 0; }));
+  ASSERT_TRUE(run_until([&] { return ends.count(2) > 0; }));
   EXPECT_EQ(ends[2].outcome, Outcome::served);
   EXPECT_EQ(transport->counts().stale, 1u);
 }
@@ -180,13 +181,13 @@
   });
   open();
   Catalogue list;
-  platform::Listed l;
+  platform::ListedEndpoint l;
   l.endpoint.id = "s-1", l.address = listener.address().text();
   list.endpoints.push_back(l);
-  transport->learn(list);
+  transport->apply_list(list);
   order(1, "m-1", 1'000'000);
   transport->flush();
-  ASSERT_TRUE(until([&] { return ends.count(1) > 0; }));
+  ASSERT_TRUE(run_until([&] { return ends.count(1) > 0; }));
   EXPECT_EQ(ends.at(1).outcome, Outcome::connect_failed);
   EXPECT_EQ(transport->connections(), 0u);
 }
@@ -198,123 +199,123 @@
 TEST_F(Crossings, ADrainCallsBackWhatWaitsForItsConnection) {
   const std::string was = R"("ConnectTimeout":500000)";
   settings.replace(settings.find(was), was.size(), R"("ConnectTimeout":4000000)");
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   start();
-  ASSERT_TRUE(until([&] { return !watches.empty(); }));
-  endpoints.at("s-1").server->shut_out();
+  ASSERT_TRUE(run_until([&] { return !open_watches.empty(); }));
+  endpoints.at("s-1").server->block_new_connections();
   Client c(*this);
-  c.hand_in("m-1", "order");
+  c.submit("m-1", "order");
   EXPECT_EQ(c.status(), 202);
-  add("s-2", 7);
-  change("s-1", "draining");
-  ASSERT_TRUE(until([&] { return watches.size() == 1; }));  // change delivered, new watch open
-  endpoints.at("s-1").server->let_in();
-  ASSERT_TRUE(until([&] { return called("m-1") == 1; }));
+  add_endpoint("s-2", 7);
+  change_status("s-1", "draining");
+  ASSERT_TRUE(run_until([&] { return open_watches.size() == 1; }));  // change delivered, new watch open
+  endpoints.at("s-1").server->resume_accepting();
+  ASSERT_TRUE(run_until([&] { return call_count("m-1") == 1; }));
   EXPECT_EQ(calls[0].endpoint, "s-2");
-  EXPECT_TRUE(until([&] { return relay->held() == 0; }));
-  EXPECT_EQ(called("m-1"), 1u);
+  EXPECT_TRUE(run_until([&] { return relay->held() == 0; }));
+  EXPECT_EQ(call_count("m-1"), 1u);
 }
 
 // A watch hangs just after its answer, and then an endpoint drains: the relay must detect this and request
 // the list again within 6 s, after which it counts as informed.
 TEST_F(Crossings, WhatASilentWatchMissedIsKnownWithinSixSeconds) {
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   start();
-  ASSERT_TRUE(until([&] { return !watches.empty(); }));
-  watches.clear();  // it is never answered
-  endpoints.at("s-1").status = "draining", index++;
-  add("s-2", 7);
-  ASSERT_TRUE(until([&] { return !watches.empty(); }, 6'000'000));
+  ASSERT_TRUE(run_until([&] { return !open_watches.empty(); }));
+  open_watches.clear();  // it is never answered
+  endpoints.at("s-1").status = "draining", list_index++;
+  add_endpoint("s-2", 7);
+  ASSERT_TRUE(run_until([&] { return !open_watches.empty(); }, 6'000'000));
   Client c(*this);
-  c.hand_in("m-1");
+  c.submit("m-1");
   EXPECT_EQ(c.status(), 202);
-  ASSERT_TRUE(until([&] { return called("m-1") == 1; }));
+  ASSERT_TRUE(run_until([&] { return call_count("m-1") == 1; }));
   EXPECT_EQ(calls[0].endpoint, "s-2");
 }
 
 // Another discovery server numbers its changes independently, perhaps lower: the relay must request its whole
 // list.
 TEST_F(Crossings, AnotherDiscoverysLowerNumbersAreNoReasonToWait) {
-  index = 41;
-  add("s-1", 7);
+  list_index = 41;
+  add_endpoint("s-1", 7);
   start();
-  ASSERT_TRUE(until([&] { return !watches.empty(); }));
-  discovery = 1, index = 3;
+  ASSERT_TRUE(run_until([&] { return !open_watches.empty(); }));
+  discovery_index = 1, list_index = 3;
   endpoints.at("s-1").status = "draining";
-  add("s-2", 7);
-  watches.clear();
+  add_endpoint("s-2", 7);
+  open_watches.clear();
   std::vector<std::string> targets;
-  says = [&](const http1::Message& m) -> std::optional<Server::Reply> {
+  discovery_override = [&](const http1::Message& m) -> std::optional<Server::Reply> {
     targets.push_back(m.target);
     return {};
   };
-  relay->reload(read_config(config(), 0));
-  EXPECT_TRUE(until([&] { return discoveries[0]->connections() == 0; }));
-  ASSERT_TRUE(until([&] { return !watches.empty(); }, 1'000'000));
-  EXPECT_EQ(watches[0].first, discoveries[1].get());
+  relay->reload(read_config(config_json(), 0));
+  EXPECT_TRUE(run_until([&] { return discoveries[0]->connections() == 0; }));
+  ASSERT_TRUE(run_until([&] { return !open_watches.empty(); }, 1'000'000));
+  EXPECT_EQ(open_watches[0].first, discoveries[1].get());
   EXPECT_EQ(targets.at(0), "/catalog/members");
   Client c(*this);
-  c.hand_in("m-1");
-  ASSERT_TRUE(until([&] { return called("m-1") == 1; }));
+  c.submit("m-1");
+  ASSERT_TRUE(run_until([&] { return call_count("m-1") == 1; }));
   EXPECT_EQ(calls[0].endpoint, "s-2");
 }
 
 // After a drain the relay receives older changes: they must not undo the drain, and the relay must request
 // the whole list.
 TEST_F(Crossings, OlderChangesUndoNoDrain) {
-  add("s-1", 7), add("s-2", 7);
+  add_endpoint("s-1", 7), add_endpoint("s-2", 7);
   start();
-  ASSERT_TRUE(until([&] { return !watches.empty(); }));
-  index = 5;
+  ASSERT_TRUE(run_until([&] { return !open_watches.empty(); }));
+  list_index = 5;
   bool older = false;
   std::vector<std::string> targets;
-  says = [&](const http1::Message& m) -> std::optional<Server::Reply> {
+  discovery_override = [&](const http1::Message& m) -> std::optional<Server::Reply> {
     targets.push_back(m.target);
     if (older || m.target.find("after=6") == std::string::npos) return {};
     older = true;
     const auto status = std::exchange(endpoints.at("s-1").status, "ready");
-    const auto before = std::exchange(index, 4);
-    const auto text = list(false);
-    endpoints.at("s-1").status = status, index = before;
-    return Server::Reply{http1::response(200, {}, text, false)};
+    const auto before = std::exchange(list_index, 4);
+    const auto text = list_json(false);
+    endpoints.at("s-1").status = status, list_index = before;
+    return Server::Reply{http1::build_response(200, {}, text, false)};
   };
-  change("s-1", "draining");
-  ASSERT_TRUE(until([&] { return older && !watches.empty(); }));
+  change_status("s-1", "draining");
+  ASSERT_TRUE(run_until([&] { return older && !open_watches.empty(); }));
   EXPECT_NE(std::find(targets.begin(), targets.end(), "/catalog/members"), targets.end());
   for (int i = 0; i < 6; i++) {
     Client c(*this);
-    c.hand_in("m-" + std::to_string(i));
-    ASSERT_TRUE(until([&] { return called("m-" + std::to_string(i)) == 1; }));
+    c.submit("m-" + std::to_string(i));
+    ASSERT_TRUE(run_until([&] { return call_count("m-" + std::to_string(i)) == 1; }));
     EXPECT_EQ(calls.back().endpoint, "s-2");
   }
 }
 
 TEST_F(Crossings, WhereListsArePushedAWatchIsOpenAllTheSame) {
   settings.replace(settings.find("subscribe"), 9, "automatic");
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   start();
-  ASSERT_TRUE(until([&] { return !watches.empty(); }));
-  add("s-2", 7);
-  change("s-1", "draining");
-  ASSERT_TRUE(until([&] { return !watches.empty(); }));
+  ASSERT_TRUE(run_until([&] { return !open_watches.empty(); }));
+  add_endpoint("s-2", 7);
+  change_status("s-1", "draining");
+  ASSERT_TRUE(run_until([&] { return !open_watches.empty(); }));
   Client c(*this);
-  c.hand_in("m-1");
-  ASSERT_TRUE(until([&] { return called("m-1") == 1; }));
+  c.submit("m-1");
+  ASSERT_TRUE(run_until([&] { return call_count("m-1") == 1; }));
   EXPECT_EQ(calls[0].endpoint, "s-2");
 }
 
 // The connection for notices hangs: the notice is posted again on another one while it is still in time.
 TEST_F(Crossings, ANoticeOnASilentConnectionIsPostedAgainInItsTime) {
-  add("s-1", 7);
-  answers["s-1"] = [&](const Call&) { return Server::Reply{}; };
+  add_endpoint("s-1", 7);
+  endpoint_replies["s-1"] = [&](const Call&) { return Server::Reply{}; };
   start();
-  mute_posts = 1;
+  unanswered_posts = 1;
   Client c(*this);
-  c.hand_in("m-1", "order", 7, "0.2");
+  c.submit("m-1", "order", 7, "0.2");
   EXPECT_EQ(c.status(), 202);
-  ASSERT_TRUE(until([&] { return posts == 1; }));
-  EXPECT_FALSE(noticed("m-1"));
-  EXPECT_TRUE(until([&] { return noticed("m-1"); }, 700'000));
+  ASSERT_TRUE(run_until([&] { return notice_posts == 1; }));
+  EXPECT_FALSE(has_notice("m-1"));
+  EXPECT_TRUE(run_until([&] { return has_notice("m-1"); }, 700'000));
 }
 
 // ---- Clients' connections. ----
@@ -322,22 +323,23 @@
 class ClientsCrossings : public Crossings {
  protected:
   void open(std::size_t most = 8) {
-    clients = std::make_unique<Clients>(
+    clients = std::make_unique<ClientConnections>(
         loop, net::Address::parse("127.0.0.1:0"), most,
-        Clients::Host{.request =
-                          [this](Clients::Number n, http1::Message& m) {
-                            asked.push_back(m.target);
-                            if (hold)
-                              held.push_back(n);
-                            else
-                              clients->answer(n, 202, {}, {});
-                          },
-                      .gone = [this](Clients::Number n, Clients::Reads) { gone.push_back(n); }});
+        ClientConnections::Host{.request =
+                                    [this](ClientConnections::ConnectionId n, http1::Message& m) {
+                                      asked.push_back(m.target);
+                                      if (hold)
+                                        held.push_back(n);
+                                      else
+                                        clients->answer(n, 202, {}, {});
+                                    },
+                                .client_left = [this](ClientConnections::ConnectionId n,
+                                                      ClientConnections::ReadSide) { gone.push_back(n); }});
   }
   std::vector<std::string> asked;
-  std::vector<Clients::Number> held, gone;
+  std::vector<ClientConnections::ConnectionId> held, gone;
   bool hold = false;
-  std::unique_ptr<Clients> clients;
+  std::unique_ptr<ClientConnections> clients;
 };
 
 // The request is in the kernel's receive buffer when the relay closes its idle connections: it is answered,
@@ -363,10 +365,10 @@
   ASSERT_EQ(c.status(), 202);
   clients->drain();
   EXPECT_EQ(clients->connections(), 1u);
-  ASSERT_TRUE(until([&] { return c.ended; }));
+  ASSERT_TRUE(run_until([&] { return c.sending_ended; }));
   c.write(get("/2"));
-  c.end_sending();
-  ASSERT_TRUE(until([&] { return clients->connections() == 0 && c.closed; }));
+  c.shutdown_sending();
+  ASSERT_TRUE(run_until([&] { return clients->connections() == 0 && c.closed; }));
   EXPECT_FALSE(c.reset);
   EXPECT_EQ(asked.size(), 1u);
 }
@@ -376,11 +378,11 @@
   hold = true;
   Client c(*this, clients->address());
   c.write(get("/1") + get("/2") + get("/3"));
-  ASSERT_TRUE(until([&] { return held.size() == 1; }));
+  ASSERT_TRUE(run_until([&] { return held.size() == 1; }));
   clients->drain();
   hold = false;
   clients->answer(held[0], 202, {}, {});
-  ASSERT_TRUE(until([&] { return c.ended || c.closed; }));
+  ASSERT_TRUE(run_until([&] { return c.sending_ended || c.closed; }));
   ASSERT_EQ(c.answers.size(), 3u);
   EXPECT_FALSE(c.answers[1].close);
   EXPECT_TRUE(c.answers[2].close);
@@ -391,8 +393,8 @@
 TEST_F(ClientsCrossings, AFirstRequestThatWaitsToBeReadIsNotClosedUpon) {
   open(1);
   Client first(*this, clients->address());
-  ASSERT_TRUE(until([&] { return clients->connections() == 1; }));
-  until([&] { return false; }, 200'000);  // idle for so long, it could be evicted
+  ASSERT_TRUE(run_until([&] { return clients->connections() == 1; }));
+  run_until([&] { return false; }, 200'000);  // idle for so long, it could be evicted
   first.write(get("/1"));
   Client second(*this, clients->address());
   EXPECT_EQ(first.status(), 202);
@@ -401,52 +403,52 @@
 // A client that has closed and one that only shut down its sending cannot be distinguished: its message is
 // not sent on, and a client that still reads is informed of that.
 TEST_F(Crossings, AClientThatEndsItsSendingHearsThatNothingWasDone) {
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   start();
   Client c(*this);
-  until([&] { return false; }, 20'000);  // connected
-  c.hand_in("m-1");
-  c.end_sending();
+  run_until([&] { return false; }, 20'000);  // connected
+  c.submit("m-1");
+  c.shutdown_sending();
   EXPECT_EQ(c.status(), 503);
-  EXPECT_TRUE(until([&] { return relay->held() == 0; }));
+  EXPECT_TRUE(run_until([&] { return relay->held() == 0; }));
   EXPECT_TRUE(calls.empty());
 }
 
 // A client's idempotency key is sent with every attempt of its message, in single calls and in a bundle's
 // lines.
 TEST_F(Crossings, AClientsIdempotencyKeyReachesTheEndpoint) {
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   std::vector<std::string> keys;
   endpoints.at("s-1").server = std::make_unique<Server>(loop, [&](const http1::Message& m, int) {
     const auto* key = m.find("idempotency-key");
     keys.push_back(key == nullptr ? "" : *key);
-    return Server::Reply{http1::response(keys.size() == 1 ? 503 : 200, {}, {}, false)};
+    return Server::Reply{http1::build_response(keys.size() == 1 ? 503 : 200, {}, {}, false)};
   });
   start();
   const auto message = [](const std::string& id, const std::string& key, int dest) {
-    return http1::request("POST", "/status", "backend.local",
-                          {{"X-Call-Id", id},
-                           {"X-Budget", "6"},
-                           {"X-Route-To", "dest=" + std::to_string(dest)},
-                           {"Idempotency-Key", key}},
-                          "hello");
+    return http1::build_request("POST", "/status", "backend.local",
+                                {{"X-Call-Id", id},
+                                 {"X-Budget", "6"},
+                                 {"X-Route-To", "dest=" + std::to_string(dest)},
+                                 {"Idempotency-Key", key}},
+                                "hello");
   };
   Client a(*this), b(*this);
-  until([&] { return false; }, 20'000);  // connected
+  run_until([&] { return false; }, 20'000);  // connected
   a.write(message("m-1", "k-1", 7));
   EXPECT_EQ(a.status(), 202);
-  ASSERT_TRUE(until([&] { return keys.size() == 2; }));
+  ASSERT_TRUE(run_until([&] { return keys.size() == 2; }));
   EXPECT_EQ(keys, (std::vector<std::string>{"k-1", "k-1"}));
   b.write(message("m-2", "two words", 7));
   EXPECT_EQ(b.status(), 400);
 }
 
 TEST_F(EndpointsCrossings, EachKeyStandsInItsLineOfABundle) {
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   open();
   order(1, "m-1", 1'000'000, 1, 6'000'000, "k-1"), order(2, "m-2", 1'000'000);
   transport->flush();
-  ASSERT_TRUE(until([&] { return ends.size() == 2; }));
+  ASSERT_TRUE(run_until([&] { return ends.size() == 2; }));
   EXPECT_EQ(calls.at(0).path, "/inbox/bulk");
   EXPECT_EQ(calls[0].body, "m-1 k-1 5\r\nhello\r\nm-2 - 5\r\nhello\r\n");
 }
@@ -454,24 +456,24 @@
 // A message's time is up after the last round of a terminating relay, and the endpoint's answer comes later
 // still: the final answer is the notice, which must be sent in time.
 TEST_F(Crossings, AnAnswerAfterItsTimeIsNoEndForARelayThatEnds) {
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   int connection = 0;
-  answers["s-1"] = [&](const Call& call) {
+  endpoint_replies["s-1"] = [&](const Call& call) {
     connection = call.connection;
     return Server::Reply{};
   };
   start();
   Client c(*this);
   bool stopped = false;
-  c.hand_in("m-1", "order", 7, "3.1");
+  c.submit("m-1", "order", 7, "3.1");
   EXPECT_EQ(c.status(), 202);
   relay->stop([&] { stopped = true; });
-  ASSERT_TRUE(until([&] { return called("m-1") == 1; }));
-  ASSERT_TRUE(until([&] { return noticed("m-1") || stopped; }));
-  EXPECT_TRUE(noticed(R"({"id":"m-1","state":"failed"})"));
+  ASSERT_TRUE(run_until([&] { return call_count("m-1") == 1; }));
+  ASSERT_TRUE(run_until([&] { return has_notice("m-1") || stopped; }));
+  EXPECT_TRUE(has_notice(R"({"id":"m-1","state":"failed"})"));
   EXPECT_FALSE(stopped);
   EXPECT_EQ(relay->held(), 0u);
-  EXPECT_TRUE(until([&] { return stopped; }));
+  EXPECT_TRUE(run_until([&] { return stopped; }));
 }
 
 // Two messages with the same order key, of a class that requires order: the second is sent when the first has
@@ -479,35 +481,35 @@
 TEST_F(Crossings, MessagesOfOneOrderKeyGoOneAtATime) {
   const std::string was = R"("Idempotency":"read_like"})";
   settings.replace(settings.find(was), was.size(), R"("Idempotency":"read_like","FifoByKey":true})");
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   int connection = 0;
-  answers["s-1"] = [&](const Call& call) {
+  endpoint_replies["s-1"] = [&](const Call& call) {
     if (call.id == "m-1") connection = call.connection;
-    return call.id == "m-1" ? Server::Reply{} : Server::Reply{ok(call)};
+    return call.id == "m-1" ? Server::Reply{} : Server::Reply{ok_answer(call)};
   };
   start();
   const auto message = [](const std::string& id, const std::string& key) {
-    return http1::request(
+    return http1::build_request(
         "POST", "/status", "backend.local",
         {{"X-Call-Id", id}, {"X-Budget", "6"}, {"X-Route-To", "dest=7"}, {"X-Route-Hash", key}}, "hello");
   };
   Client c(*this);
   c.write(message("m-1", "k-1"));
   EXPECT_EQ(c.status(), 202);
-  ASSERT_TRUE(until([&] { return called("m-1") == 1; }));
+  ASSERT_TRUE(run_until([&] { return call_count("m-1") == 1; }));
   c.write(message("m-2", "k-1") + message("m-3", "k-2"));
-  ASSERT_TRUE(until([&] { return called("m-3") == 1; }));
-  EXPECT_EQ(called("m-2"), 0u);
-  endpoints.at("s-1").server->write(connection, ok(calls[0]));
-  EXPECT_TRUE(until([&] { return called("m-2") == 1; }));
+  ASSERT_TRUE(run_until([&] { return call_count("m-3") == 1; }));
+  EXPECT_EQ(call_count("m-2"), 0u);
+  endpoints.at("s-1").server->write(connection, ok_answer(calls[0]));
+  EXPECT_TRUE(run_until([&] { return call_count("m-2") == 1; }));
 }
 
 TEST_F(Crossings, AnAbsoluteTargetIsAPathToo) {
-  add("s-1", 7);
+  add_endpoint("s-1", 7);
   start();
   Client c(*this);
-  c.write(http1::request("POST", "http://backend.local/status", "backend.local",
-                         {{"X-Call-Id", "m-1"}, {"X-Budget", "6"}, {"X-Route-To", "dest=7"}}, "hello"));
+  c.write(http1::build_request("POST", "http://backend.local/status", "backend.local",
+                               {{"X-Call-Id", "m-1"}, {"X-Budget", "6"}, {"X-Route-To", "dest=7"}}, "hello"));
   EXPECT_EQ(c.status(), 202);
   c.write(get("http://backend.local/_health"));
   EXPECT_EQ(c.status(), 200);
--- a/tests/platform_faults_test.cpp
+++ b/tests/platform_faults_test.cpp
@@ -9,8 +9,8 @@
 
 FleetSettings settings() {
   FleetSettings s;
-  s.program = PROGRAM, s.library = FAULT_LIBRARY;
-  s.endpoints_each = 1, s.unsafe_deadline = s.safe_deadline;
+  s.program = PROGRAM, s.fault_library = FAULT_LIBRARY;
+  s.endpoints_per_destination = 1, s.unsafe_deadline = s.safe_deadline;
   return s;
 }
 
@@ -18,16 +18,16 @@
  public:
   PlatformFaults() : fleet(settings()) {}
   void expect_rules_kept() {
-    const auto verdict = fleet.judge.verdict(loop::monotonic_now());
-    for (const auto& broken : verdict.broken) ADD_FAILURE() << broken;
+    const auto verdict = fleet.checker.check(loop::monotonic_now());
+    for (const auto& broken : verdict.violations) ADD_FAILURE() << broken;
     if (HasFailure())
       for (const auto& line : fleet.log(0)) std::fprintf(stderr, "%s\n", line.c_str());
   }
   // Submits so many messages, of both classes and to all destinations, and waits for the last one's answer.
   std::vector<std::string> hold(int messages) {
     std::vector<std::string> ids;
-    for (int i = 0; i < messages; i++) ids.push_back(fleet.hand_in(0, i % 2 == 0, i % 3));
-    fleet.until([&] { return fleet.judge.requests.at(ids.back()).status != 0; }, 1'000'000);
+    for (int i = 0; i < messages; i++) ids.push_back(fleet.submit(0, i % 2 == 0, i % 3));
+    fleet.run_until([&] { return fleet.checker.requests.at(ids.back()).status != 0; }, 1'000'000);
     return ids;
   }
   Fleet fleet;
@@ -39,7 +39,7 @@
   for (const int error : {ENOSPC, EIO}) {
     ASSERT_TRUE(fleet.running(0) || fleet.start(0));
     // The told wait is longer than the messages' time, so they are refused at once.
-    fleet.reply = [](const auto&, const auto&) { return Reply{Reply::What::told_wait, 400'000, 2'000'000}; };
+    fleet.reply = [](const auto&, const auto&) { return Reply{Reply::Kind::told_wait, 400'000, 2'000'000}; };
     hold(20);
     fleet.faults(0).write_error = error;
     fleet.run(700'000);
@@ -48,8 +48,8 @@
     fleet.run(500'000);
     fleet.reply = [](const auto&, const auto&) { return Reply{}; };
     fleet.settle();
-    EXPECT_GT(fleet.faults(0).hits, 0u);
-    EXPECT_FALSE(fleet.judge.restarts.empty());
+    EXPECT_GT(fleet.faults(0).injected_failures, 0u);
+    EXPECT_FALSE(fleet.checker.restarts.empty());
   }
   expect_rules_kept();
 }
@@ -63,7 +63,7 @@
     fleet.faults(0).write_error = 0;
     fleet.run(300'000);
     std::vector<std::string> ids = hold(10);
-    for (const auto& id : ids) EXPECT_TRUE(fleet.judge.requests.at(id).accepted()) << id;
+    for (const auto& id : ids) EXPECT_TRUE(fleet.checker.requests.at(id).accepted()) << id;
     fleet.settle();
   }
   expect_rules_kept();
@@ -72,18 +72,18 @@
 TEST_F(PlatformFaults, AnErrorWhileTheFolderIsOpenedLosesNothing) {
   for (const int error : {ENOSPC, EIO}) {
     ASSERT_TRUE(fleet.running(0) || fleet.start(0));
-    fleet.reply = [](const auto&, const auto&) { return Reply{Reply::What::refuse}; };
+    fleet.reply = [](const auto&, const auto&) { return Reply{Reply::Kind::refuse}; };
     const auto ids = hold(20);
     Control& faults = fleet.faults(0);
     fleet.kill_in_write(0, 20);  // leaves a torn tail, which the next start has to clear
-    fleet.hand_in(0, true);
+    fleet.submit(0, true);
     fleet.run(100'000);
     faults.write_error = faults.create_error = faults.allocate_error = error;
     fleet.run(1'200'000);
     fleet.reply = [](const auto&, const auto&) { return Reply{}; };
     faults.write_error = faults.create_error = faults.allocate_error = 0;
     fleet.settle();
-    for (const auto& id : ids) EXPECT_NE(fleet.end_of(id), "") << id;
+    for (const auto& id : ids) EXPECT_NE(fleet.final_answer_of(id), "") << id;
   }
   expect_rules_kept();
 }
@@ -103,9 +103,9 @@
     fleet.run(300'000);
   }
   fleet.settle();
-  EXPECT_GT(c.hits, 0u);
-  EXPECT_FALSE(fleet.logged(0, "closed s-"));
-  for (const auto& [id, request] : fleet.judge.requests)
+  EXPECT_GT(c.injected_failures, 0u);
+  EXPECT_FALSE(fleet.has_log_line(0, "closed s-"));
+  for (const auto& [id, request] : fleet.checker.requests)
     EXPECT_TRUE(!request.accepted() || request.delivered > 0) << id;
   expect_rules_kept();
 }
@@ -115,15 +115,15 @@
 TEST_F(PlatformFaults, AcceptsThatFailDoNotSpin) {
   ASSERT_TRUE(fleet.start(0));
   for (const int error : {ENFILE, ENOBUFS, ENOMEM}) {
-    const auto before = fleet.faults(0).hits.load();
+    const auto before = fleet.faults(0).injected_failures.load();
     fleet.faults(0).accept_error = error;
-    fleet.hand_in(0, true);
-    fleet.hand_in(0, true);
+    fleet.submit(0, true);
+    fleet.submit(0, true);
     fleet.run(1'000'000);
     fleet.faults(0).accept_error = 0;
     fleet.run(300'000);
-    EXPECT_GT(fleet.faults(0).hits, before);
-    EXPECT_LT(fleet.faults(0).hits, before + 40) << error;
+    EXPECT_GT(fleet.faults(0).injected_failures, before);
+    EXPECT_LT(fleet.faults(0).injected_failures, before + 40) << error;
   }
 }
 
@@ -135,32 +135,33 @@
   Fleet fleet(s);
   fleet.reply = [&](const auto&, const auto&) {
     const Time after = static_cast<Time>(fleet.random() % 250'000);
-    return Reply{fleet.random() % 50 == 0 ? Reply::What::refuse : Reply::What::ok, after};
+    return Reply{fleet.random() % 50 == 0 ? Reply::Kind::refuse : Reply::Kind::ok, after};
   };
   ASSERT_TRUE(fleet.start(0));
   fleet.traffic(100, 0);
   fleet.run(6'000'000);
   fleet.settle();
-  const auto verdict = fleet.judge.verdict(loop::monotonic_now());
-  EXPECT_GT(verdict.share(), 0.85) << verdict.delivered << " of " << verdict.handed_in;
-  for (const auto& broken : verdict.broken) ADD_FAILURE() << broken;
+  const auto verdict = fleet.checker.check(loop::monotonic_now());
+  EXPECT_GT(verdict.share(), 0.85) << verdict.delivered << " of " << verdict.submitted;
+  for (const auto& broken : verdict.violations) ADD_FAILURE() << broken;
 }
 
 // The platform protocol requires a fresh id for every request, but a faulty client may send the id of another
 // request, which may already have its final answer.
 TEST_F(PlatformFaults, AnIdThatHadItsEndIsNotSentAgain) {
   ASSERT_TRUE(fleet.start(0));
-  fleet.reply = [](const auto&, const auto&) { return Reply{Reply::What::error}; };
+  fleet.reply = [](const auto&, const auto&) { return Reply{Reply::Kind::error}; };
   const auto ids = hold(20);
-  ASSERT_TRUE(fleet.until([&] { return fleet.end_of(ids[1]) != ""; }, 2'000'000)) << fleet.end_of(ids[1]);
+  ASSERT_TRUE(fleet.run_until([&] { return fleet.final_answer_of(ids[1]) != ""; }, 2'000'000))
+      << fleet.final_answer_of(ids[1]);
   fleet.run(200'000);
   fleet.reply = [](const auto&, const auto&) { return Reply{}; };
-  for (int i = 0; i < 40; i++) fleet.repeat_an_ended_id(0);
+  for (int i = 0; i < 40; i++) fleet.repeat_ended_request(0);
   fleet.run(500'000);
-  EXPECT_TRUE(fleet.logged(0, "\"repeated\""));
+  EXPECT_TRUE(fleet.has_log_line(0, "\"repeated\""));
   fleet.kill(0);  // the id is known after a restart too
-  ASSERT_TRUE(fleet.until([&] { return fleet.ready(0); }, 5'000'000));
-  for (int i = 0; i < 40; i++) fleet.repeat_an_ended_id(0);
+  ASSERT_TRUE(fleet.run_until([&] { return fleet.ready(0); }, 5'000'000));
+  for (int i = 0; i < 40; i++) fleet.repeat_ended_request(0);
   fleet.settle();
   expect_rules_kept();
 }
@@ -168,15 +169,15 @@
 TEST_F(PlatformFaults, AStepOfTheWallClockOverAStartMovesNoDeadline) {
   for (const std::int64_t step : {-7, 7, -3600, 3600}) {
     ASSERT_TRUE(fleet.running(0) || fleet.start(0));
-    fleet.reply = [](const auto&, const auto&) { return Reply{Reply::What::refuse}; };
+    fleet.reply = [](const auto&, const auto&) { return Reply{Reply::Kind::refuse}; };
     const auto ids = hold(10);
     fleet.faults(0).hide_boot_id = 1;
-    fleet.faults(0).wall_shift += step * 1'000'000;
+    fleet.faults(0).wall_clock_offset += step * 1'000'000;
     fleet.kill(0);
     fleet.run(3'500'000);
-    for (const auto& id : ids) EXPECT_EQ(fleet.end_of(id).substr(0, 6), "notice") << id;
+    for (const auto& id : ids) EXPECT_EQ(fleet.final_answer_of(id).substr(0, 6), "notice") << id;
     fleet.faults(0).hide_boot_id = 0;
-    EXPECT_GT(fleet.faults(0).hits, 0u);
+    EXPECT_GT(fleet.faults(0).injected_failures, 0u);
   }
   fleet.settle();
   expect_rules_kept();
--- a/tests/platform_journal_test.cpp
+++ b/tests/platform_journal_test.cpp
@@ -16,7 +16,7 @@
 class SharedFolder final : public store::Files {
  public:
   explicit SharedFolder(testing::FaultyFiles& files) : files_(files) {}
-  std::error_code open(const std::string& name, Open how, std::unique_ptr<store::File>& out) override {
+  std::error_code open(const std::string& name, OpenMode how, std::unique_ptr<store::File>& out) override {
     return files_.open(name, how, out);
   }
   std::error_code list(std::vector<std::string>& names) override { return files_.list(names); }
@@ -31,17 +31,17 @@
 };
 
 // Stands for endpoints and clients: records which messages were sent, acknowledged and answered.
-class RecordingHost final : public relay::Transport, public relay::Answers {
+class RecordingHost final : public relay::Transport, public relay::AnswerSink {
  public:
-  void send(const relay::CallOrder& call) override { sent.insert(call.message_id); }
-  Recalled cancel(relay::CallId) override { return Recalled::sent; }
+  void send(const relay::OutgoingCall& call) override { sent.insert(call.message_id); }
+  CancelResult cancel(relay::CallId) override { return CancelResult::sent; }
   bool take_back(relay::CallId) override { return false; }
   std::vector<relay::CallId> recall(const EndpointId&) override { return {}; }
   void close_idle(const EndpointId&) override {}
   void probe(const EndpointId&) override {}
-  void served(MessageId id, const relay::Ending&) override { answered.insert(id); }
-  void refused(MessageId id, Time, const relay::Account&) override { answered.insert(id); }
-  void failed(MessageId id, const relay::Account&) override { answered.insert(id); }
+  void served(MessageId id, const relay::CallResult&) override { answered.insert(id); }
+  void refused(MessageId id, Time, const relay::AttemptSummary&) override { answered.insert(id); }
+  void failed(MessageId id, const relay::AttemptSummary&) override { answered.insert(id); }
   std::set<MessageId> acknowledged, sent, answered;
 };
 
@@ -51,11 +51,13 @@
   settings.open = [&files](const std::string&) { return std::make_unique<SharedFolder>(files); };
   ClassSettings safe, unsafe;
   safe.effect = Effect::safe, unsafe.effect = Effect::unsafe;
-  settings.keeper.classes = {safe, unsafe}, settings.keeper.class_names = {"safe", "unsafe"};
+  settings.coordinator.classes = {safe, unsafe}, settings.coordinator.class_names = {"safe", "unsafe"};
   auto journal = std::make_unique<Journal>(
-      loop, std::move(settings), Journal::Ends{host, host, [](relay::CallId, const relay::Ending&) {}, [] {}},
+      loop, std::move(settings),
+      Journal::Ports{host, host, [](relay::CallId, const relay::CallResult&) {}, [] {}},
       [](const std::string&) {});
-  journal->keeper().begin(journal::begin(journal->image(), {"boot", loop.now(), loop.now()}), loop.now());
+  journal->coordinator().write_base(journal::make_base(journal->image(), {"boot", loop.now(), loop.now()}),
+                                    loop.now());
   journal->commit();
   return journal;
 }
@@ -64,12 +66,12 @@
 void process_message(Journal& journal, RecordingHost& host, MessageId id, Time now) {
   auto message = std::make_shared<relay::NewMessage>();
   message->owner = "m-" + std::to_string(id), message->body = "hello", message->message_class = 1;
-  auto& coordinator = journal.keeper();
+  auto& coordinator = journal.coordinator();
   coordinator.at(now);
   coordinator.taken(id, message, now + kHour);
   journal.commit();
   if (!journal.stalled()) host.acknowledged.insert(id);
-  relay::CallOrder call;
+  relay::OutgoingCall call;
   call.id = id, call.endpoint = "e", call.message_id = id, call.message = message;
   coordinator.send(call);
   journal.commit();
@@ -85,7 +87,7 @@
   for (const auto id : host.answered)
     EXPECT_EQ(held.count(id), 0u) << context << ": answered and held " << id;
   for (const auto id : host.sent)
-    EXPECT_TRUE(held.count(id) == 0 || !held.at(id).now.out.empty())
+    EXPECT_TRUE(held.count(id) == 0 || !held.at(id).state.out.empty())
         << context << ": sent without a record " << id;
 }
 
@@ -98,7 +100,7 @@
       for (int steps = 1; steps <= kSteps; steps++) {
         testing::FaultyFiles files(static_cast<std::uint64_t>(first * 100 + steps));
         int calls = 0;
-        files.before = [&](const char*) {
+        files.before_call = [&](const char*) {
           const int call = calls++;
           return call >= first && call < first + failing_calls ? std::make_error_code(error)
                                                                : std::error_code();
@@ -109,7 +111,7 @@
         for (int i = 1; i <= steps; i++)
           process_message(*journal, host, static_cast<MessageId>(i), loop.now());
         journal.reset();  // as SIGKILL
-        files.before = nullptr;
+        files.before_call = nullptr;
         RecordingHost next;
         journal = open(loop, files, next);
         expect_consistent(*journal, host,
@@ -124,7 +126,7 @@
   for (int first = 0; first < 30; first++) {
     testing::FaultyFiles files(static_cast<std::uint64_t>(first));
     int calls = 0;
-    files.before = [&](const char*) {
+    files.before_call = [&](const char*) {
       const int call = calls++;
       return call >= first && call < first + failing_calls ? std::make_error_code(std::errc::io_error)
                                                            : std::error_code();
@@ -150,10 +152,10 @@
     auto journal = open(loop, files, host);
     for (int i = 1; i <= kSteps; i++) process_message(*journal, host, static_cast<MessageId>(i), loop.now());
     journal.reset();
-    constexpr std::size_t kInFirstRecord = store::Log::kSegmentHead + store::Log::kHead + 2;
+    constexpr std::size_t kInFirstRecord = store::Log::kSegmentHeaderSize + store::Log::kRecordHeaderSize + 2;
     files.bytes_of(files.names().begin()->first)[kInFirstRecord] ^= 1;
     int calls = 0;
-    files.before = [&](const char*) {
+    files.before_call = [&](const char*) {
       const int call = calls++;
       return call >= first && call < first + GetParam() ? std::make_error_code(std::errc::io_error)
                                                         : std::error_code();
@@ -162,10 +164,10 @@
       RecordingHost next;
       journal = open(loop, files, next);
       expect_consistent(*journal, host, "start " + std::to_string(start) + ", " + std::to_string(first));
-      for (int i = 0; i < 5; i++) journal->keeper().tidy(loop.now(), 64), journal->commit();
+      for (int i = 0; i < 5; i++) journal->coordinator().compact(loop.now(), 64), journal->commit();
       journal.reset();
     }
-    files.before = nullptr;
+    files.before_call = nullptr;
     RecordingHost next;
     journal = open(loop, files, next);
     expect_consistent(*journal, host, "last start, " + std::to_string(first));
@@ -181,23 +183,23 @@
   loop::Loop loop;
   RecordingHost host;
   const auto journal = open(loop, files, host);
-  auto& coordinator = journal->keeper();
+  auto& coordinator = journal->coordinator();
   for (const auto& [id, left] : {std::pair<MessageId, Time>{1, -1}, {2, kHour}}) {
     auto message = std::make_shared<relay::NewMessage>();
     message->owner = "m-" + std::to_string(id);
     coordinator.taken(id, message, loop.now() + left);
   }
   journal->commit();
-  files.before = [](const char*) { return std::make_error_code(std::errc::io_error); };
+  files.before_call = [](const char*) { return std::make_error_code(std::errc::io_error); };
   coordinator.refused(1, 0, {});
   coordinator.refused(2, 0, {});
   journal->commit();
   EXPECT_EQ(host.answered, std::set<MessageId>{1});
-  EXPECT_STREQ(journal->no_room(10), "the journal can't be written now");
-  files.before = nullptr;
+  EXPECT_STREQ(journal->rejection_reason(10), "the journal can't be written now");
+  files.before_call = nullptr;
   journal->commit();
   EXPECT_EQ(host.answered, (std::set<MessageId>{1, 2}));
-  EXPECT_EQ(journal->no_room(10), nullptr);
+  EXPECT_EQ(journal->rejection_reason(10), nullptr);
 }
 
 }  // namespace
--- a/tests/platform_repeats_test.cpp
+++ b/tests/platform_repeats_test.cpp
@@ -20,8 +20,8 @@
 
 FleetSettings settings() {
   FleetSettings s;
-  s.program = PROGRAM, s.library = FAULT_LIBRARY;
-  s.endpoints_each = 1, s.endpoints_know_ends = true;
+  s.program = PROGRAM, s.fault_library = FAULT_LIBRARY;
+  s.endpoints_per_destination = 1, s.endpoints_answer_gone = true;
   return s;
 }
 
@@ -34,20 +34,20 @@
  public:
   explicit PlatformRepeats(FleetSettings s = settings()) : fleet(std::move(s)) {}
   void expect_rules_kept() {
-    const auto verdict = fleet.judge.verdict(loop::monotonic_now());
-    for (const auto& broken : verdict.broken) ADD_FAILURE() << broken;
+    const auto verdict = fleet.checker.check(loop::monotonic_now());
+    for (const auto& broken : verdict.violations) ADD_FAILURE() << broken;
     if (HasFailure())
       for (const auto& line : fleet.log(0)) std::fprintf(stderr, "%s\n", line.c_str());
   }
-  const Request& request(const std::string& id) { return fleet.judge.requests.at(id); }
+  const Request& request(const std::string& id) { return fleet.checker.requests.at(id); }
   void set_endpoint_reply(Reply reply) {
     fleet.reply = [reply](const auto&, const auto&) { return reply; };
   }
   // Submits so many requests of both classes and waits for their answers.
   std::vector<std::string> hand_in(int messages) {
     std::vector<std::string> ids;
-    for (int i = 0; i < messages; i++) ids.push_back(fleet.hand_in(0, i % 2 == 0, i % 3));
-    fleet.until([&] { return answered(ids, 1); }, 1'000'000);
+    for (int i = 0; i < messages; i++) ids.push_back(fleet.submit(0, i % 2 == 0, i % 3));
+    fleet.run_until([&] { return answered(ids, 1); }, 1'000'000);
     return ids;
   }
   bool answered(const std::vector<std::string>& ids, std::size_t times) {
@@ -58,7 +58,7 @@
   void repeat(const std::vector<std::string>& ids) {
     const std::size_t before = request(ids.front()).answers.size();
     for (const auto& id : ids) fleet.repeat(id);
-    EXPECT_TRUE(fleet.until([&] { return answered(ids, before + 1); }, 1'000'000));
+    EXPECT_TRUE(fleet.run_until([&] { return answered(ids, before + 1); }, 1'000'000));
   }
   // The relay's log lines with this event.
   std::vector<LogLine> log_lines(const std::string& event) {
@@ -83,7 +83,7 @@
 
 TEST_F(PlatformRepeats, ACopyOfAHeldRequestHearsThatItIsTakenOn) {
   ASSERT_TRUE(fleet.start(0));
-  set_endpoint_reply({Reply::What::refuse});
+  set_endpoint_reply({Reply::Kind::refuse});
   const auto ids = hand_in(10);
   fleet.run(150'000);
   repeat(ids);
@@ -98,10 +98,10 @@
 
 TEST_F(PlatformRepeats, ACopyOfAHeldRequestHearsTheSameAfterAStart) {
   ASSERT_TRUE(fleet.start(0));
-  set_endpoint_reply({Reply::What::refuse});
+  set_endpoint_reply({Reply::Kind::refuse});
   const auto ids = hand_in(10);
   fleet.kill(0);
-  ASSERT_TRUE(fleet.until([&] { return fleet.ready(0); }, 5'000'000));
+  ASSERT_TRUE(fleet.run_until([&] { return fleet.ready(0); }, 5'000'000));
   repeat(ids);
   set_endpoint_reply({});
   fleet.settle();
@@ -109,7 +109,7 @@
   // copies accordingly, and reports it in a notice at that time or shortly after.
   int accepted = 0;
   for (const auto& id : ids) {
-    const bool failed = request(id).noticed > 0 && request(id).noticed_failed;
+    const bool failed = request(id).notified > 0 && request(id).notified_failed;
     EXPECT_EQ(request(id).answers.back().status, failed ? 500 : 202) << id;
     accepted += !failed;
   }
@@ -121,17 +121,17 @@
 TEST_F(PlatformRepeats, RequestsThatAreSentOnceMoreHaveOneEnd) {
   ASSERT_TRUE(fleet.start(0));
   fleet.reply = [&](const auto&, const auto&) {
-    return Reply{fleet.random() % 3 == 0 ? Reply::What::refuse : Reply::What::ok, 1'000};
+    return Reply{fleet.random() % 3 == 0 ? Reply::Kind::refuse : Reply::Kind::ok, 1'000};
   };
-  fleet.client_break = [&]() -> std::optional<Time> {
+  fleet.client_reset_after = [&]() -> std::optional<Time> {
     if (fleet.random() % 3 != 0) return std::nullopt;
     return static_cast<Time>(fleet.random() % 10'000);
   };
-  fleet.hedged = 0.3;
+  fleet.hedged_share = 0.3;
   fleet.traffic(100);
   fleet.run(3'000'000);
   fleet.settle();
-  EXPECT_GT(fleet.judge.verdict(loop::monotonic_now()).repeated, 50u);
+  EXPECT_GT(fleet.checker.check(loop::monotonic_now()).repeated, 50u);
   expect_rules_kept();
 }
 
@@ -139,21 +139,21 @@
 TEST_F(PlatformRepeats, ACopyOfAnEndedRequestHearsItsEnd) {
   ASSERT_TRUE(fleet.start(0));
   const auto all_ended = [&](const std::vector<std::string>& ids) {
-    const auto ended = [&](const auto& id) { return fleet.end_of(id) != ""; };
-    return fleet.until([&] { return std::all_of(ids.begin(), ids.end(), ended); }, 5'000'000);
+    const auto ended = [&](const auto& id) { return fleet.final_answer_of(id) != ""; };
+    return fleet.run_until([&] { return std::all_of(ids.begin(), ids.end(), ended); }, 5'000'000);
   };
   const auto delivered = hand_in(6);
   ASSERT_TRUE(all_ended(delivered));
-  set_endpoint_reply({Reply::What::error});
+  set_endpoint_reply({Reply::Kind::error});
   const auto failed = hand_in(6);
   ASSERT_TRUE(all_ended(failed));
-  set_endpoint_reply({Reply::What::told_wait, 1'000, 2'000'000});
+  set_endpoint_reply({Reply::Kind::told_wait, 1'000, 2'000'000});
   const auto returned = hand_in(6);
   ASSERT_TRUE(all_ended(returned));
   for (const bool after_restart : {false, true}) {
     if (after_restart) {
       fleet.kill(0);
-      ASSERT_TRUE(fleet.until([&] { return fleet.ready(0); }, 5'000'000));
+      ASSERT_TRUE(fleet.run_until([&] { return fleet.ready(0); }, 5'000'000));
     }
     for (const auto* ids : {&delivered, &returned, &failed}) repeat(*ids);
     for (const auto& id : delivered) EXPECT_EQ(request(id).answers.back().status, 200) << id;
@@ -175,14 +175,14 @@
 // "not sent, try another endpoint", up to eight times.
 TEST_F(PlatformRepeats, WhatAnEndpointSaysIsOverIsNotSentAgain) {
   ASSERT_TRUE(fleet.start(0));
-  for (const auto what : {Reply::What::over, Reply::What::exhausted}) {
+  for (const auto what : {Reply::Kind::gone, Reply::Kind::exhausted}) {
     set_endpoint_reply({what, 1'000});
     const auto ids = hand_in(6);  // twice as many must stay within the log lines allowed per second
     fleet.run(500'000);
     for (const auto& id : ids) {
       EXPECT_EQ(request(id).calls.size(), 1u) << id;
-      EXPECT_EQ(fleet.end_of(id), "notice returned") << id;
-      EXPECT_TRUE(has_log_line("said_over", id, what == Reply::What::over ? "410" : "504")) << id;
+      EXPECT_EQ(fleet.final_answer_of(id), "notice returned") << id;
+      EXPECT_TRUE(has_log_line("said_over", id, what == Reply::Kind::gone ? "410" : "504")) << id;
     }
   }
   fleet.settle();
@@ -203,14 +203,15 @@
 // close would still deliver it, after the final answer that was sent in the meantime.
 TEST_F(PlatformLargeRequests, ACallThatIsGivenUpDoesNotArriveAfterTheEnd) {
   ASSERT_TRUE(fleet.start(0));
-  for (const char* endpoint : {"s-0-0", "s-1-0", "s-2-0"}) fleet.deafen(endpoint, true);
+  for (const char* endpoint : {"s-0-0", "s-1-0", "s-2-0"}) fleet.pause_reading(endpoint, true);
   const auto ids = hand_in(6);
-  ASSERT_TRUE(fleet.until(
+  ASSERT_TRUE(fleet.run_until(
       [&] {
-        return std::all_of(ids.begin(), ids.end(), [&](const auto& id) { return fleet.end_of(id) != ""; });
+        return std::all_of(ids.begin(), ids.end(),
+                           [&](const auto& id) { return fleet.final_answer_of(id) != ""; });
       },
       5'000'000));
-  for (const char* endpoint : {"s-0-0", "s-1-0", "s-2-0"}) fleet.deafen(endpoint, false);
+  for (const char* endpoint : {"s-0-0", "s-1-0", "s-2-0"}) fleet.pause_reading(endpoint, false);
   fleet.settle();
   expect_rules_kept();
 }
@@ -219,13 +220,13 @@
 // message.
 TEST_F(PlatformLargeRequests, ACallThatWasOutAtAKillDoesNotArriveAfterTheEnd) {
   ASSERT_TRUE(fleet.start(0));
-  for (const char* endpoint : {"s-0-0", "s-1-0", "s-2-0"}) fleet.deafen(endpoint, true);
+  for (const char* endpoint : {"s-0-0", "s-1-0", "s-2-0"}) fleet.pause_reading(endpoint, true);
   const auto ids = hand_in(6);
   fleet.run(100'000);
   fleet.kill(0);
-  ASSERT_TRUE(fleet.until([&] { return fleet.end_of(ids[1]) != ""; }, 5'000'000));
+  ASSERT_TRUE(fleet.run_until([&] { return fleet.final_answer_of(ids[1]) != ""; }, 5'000'000));
   fleet.run(200'000);
-  for (const char* endpoint : {"s-0-0", "s-1-0", "s-2-0"}) fleet.deafen(endpoint, false);
+  for (const char* endpoint : {"s-0-0", "s-1-0", "s-2-0"}) fleet.pause_reading(endpoint, false);
   fleet.settle();
   expect_rules_kept();
 }
@@ -241,7 +242,7 @@
   fleet.traffic(0);
   for (int starts = 0; starts < 2; starts++) {
     fleet.kill(0);
-    ASSERT_TRUE(fleet.until([&] { return fleet.ready(0); }, 5'000'000));
+    ASSERT_TRUE(fleet.run_until([&] { return fleet.ready(0); }, 5'000'000));
     repeat(delivered);
     for (const auto& id : delivered) EXPECT_EQ(request(id).answers.back().status, 200) << id;
     for (const auto& id : delivered) EXPECT_EQ(request(id).calls.size(), 1u) << id;
@@ -254,15 +255,15 @@
 // the answer.
 TEST_F(PlatformRepeats, LinesNameTheRequestsThatCameAgainOrWereTurnedAway) {
   ASSERT_TRUE(fleet.start(0));
-  set_endpoint_reply({Reply::What::refuse});
+  set_endpoint_reply({Reply::Kind::refuse});
   const auto held = hand_in(2);
   repeat(held);
   int misused = 0;
-  fleet.misuse_the_id_of(held[0], [&](int status) { misused = status; });
-  EXPECT_TRUE(fleet.until([&] { return misused != 0; }, 1'000'000));
+  fleet.send_other_body_under_id(held[0], [&](int status) { misused = status; });
+  EXPECT_TRUE(fleet.run_until([&] { return misused != 0; }, 1'000'000));
   EXPECT_EQ(misused, 409);
-  const auto unlisted = fleet.hand_in(0, true, 90);  // its destination is in no list
-  EXPECT_TRUE(fleet.until([&] { return !request(unlisted).answers.empty(); }, 1'000'000));
+  const auto unlisted = fleet.submit(0, true, 90);  // its destination is in no list
+  EXPECT_TRUE(fleet.run_until([&] { return !request(unlisted).answers.empty(); }, 1'000'000));
   fleet.run(50'000);
   const auto answer_text = "answer=" + std::to_string(request(held[0]).answers.back().status);
   EXPECT_TRUE(has_log_line("repeated", held[0], answer_text));
--- a/tests/platform_world.hpp
+++ b/tests/platform_world.hpp
@@ -43,21 +43,21 @@
 }
 
 // The platform around one relay, and what it has observed.
-class World {
+class PlatformFixture {
  public:
-  World() {
+  PlatformFixture() {
     char folder[] = "/tmp/platform-test-XXXXXX";
-    state = mkdtemp(folder);
+    state_folder = mkdtemp(folder);
     for (int i = 0; i < 2; i++) discoveries.push_back(make_discovery());
   }
-  ~World() {
+  ~PlatformFixture() {
     relay.reset();
     loop.run_once(0);
-    std::filesystem::remove_all(state);
+    std::filesystem::remove_all(state_folder);
   }
 
   // Adds an endpoint; it answers 200 unless the test sets a function for its answers.
-  void add(const std::string& name, int group, const std::string& type = "small") {
+  void add_endpoint(const std::string& name, int group, const std::string& type = "small") {
     endpoints[name] = {group, type, "ready",
                        std::make_unique<Server>(loop, [this, name](const http1::Message& m, int n) {
                          const auto field = [&](const char* f) {
@@ -65,20 +65,20 @@
                            return v == nullptr ? std::string() : *v;
                          };
                          calls.push_back({name, m.target, field("x-call-id"), m.body, field("x-budget"), n});
-                         if (const auto it = answers.find(name); it != answers.end())
+                         if (const auto it = endpoint_replies.find(name); it != endpoint_replies.end())
                            return it->second(calls.back());
-                         return Server::Reply{ok(calls.back())};
+                         return Server::Reply{ok_answer(calls.back())};
                        })};
   }
   // The answer that reports success for all messages of the call.
-  static std::string ok(const Call& call) {
+  static std::string ok_answer(const Call& call) {
     if (call.path == "/inbox") return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     std::string body;
-    for (const auto& id : ids_of(call)) body += id + " ok\r\n";
-    return http1::response(200, {}, body, false);
+    for (const auto& id : bulk_ids(call)) body += id + " ok\r\n";
+    return http1::build_response(200, {}, body, false);
   }
   // The message ids in the body of a bulk call.
-  static std::vector<std::string> ids_of(const Call& call) {
+  static std::vector<std::string> bulk_ids(const Call& call) {
     std::vector<std::string> ids;
     for (std::size_t at = 0; at < call.body.size();) {
       const auto end = call.body.find("\r\n", at);
@@ -89,8 +89,8 @@
     return ids;
   }
   // Discovery's list of endpoints: as a snapshot, or as changes.
-  std::string list(bool whole) const {
-    std::string text = R"({"index":)" + std::to_string(index) + R"(,"snapshot":)" +
+  std::string list_json(bool whole) const {
+    std::string text = R"({"index":)" + std::to_string(list_index) + R"(,"snapshot":)" +
                        (whole ? "true" : "false") + R"(,"endpoints":[)";
     bool first = true;
     for (const auto& [name, e] : endpoints) {
@@ -103,22 +103,23 @@
     return text + "]}";
   }
   // Changes an endpoint's status and answers the open watches.
-  void change(const std::string& name, const std::string& status) {
+  void change_status(const std::string& name, const std::string& status) {
     endpoints.at(name).status = status;
-    index++;
-    for (auto& [where, connection] : std::exchange(watches, {}))
-      where->write(connection, http1::response(200, {}, list(false), false));
+    list_index++;
+    for (auto& [where, connection] : std::exchange(open_watches, {}))
+      where->write(connection, http1::build_response(200, {}, list_json(false), false));
   }
 
   // The relay's configuration, with or without a list of known endpoints.
-  std::string config(bool known = true) const {
-    return R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + discoveries[discovery]->address() +
-           R"(","state":")" + state + R"(","seed":"8c1f30d27a5be964","limits":{"sockets":128,"disk_mb":)" +
-           disk_mb + R"(},)" + (known ? R"("known":)" + list(true) + "," : std::string()) + R"("settings":)" +
-           settings + "}";
+  std::string config_json(bool known = true) const {
+    return R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + discoveries[discovery_index]->address() +
+           R"(","state":")" + state_folder +
+           R"(","seed":"8c1f30d27a5be964","limits":{"sockets":128,"disk_mb":)" + disk_mb + R"(},)" +
+           (known ? R"("known":)" + list_json(true) + "," : std::string()) + R"("settings":)" + settings +
+           "}";
   }
   void start(bool known = true) {
-    relay = std::make_unique<Relay>(loop, read_config(config(known), 0),
+    relay = std::make_unique<Relay>(loop, read_config(config_json(known), 0),
                                     [this](const char* event, const std::string& text) {
                                       log.push_back(std::string(event) + ": " + text);
                                     });
@@ -129,7 +130,7 @@
     loop.run_once(0);
   }
   // Runs the loop until the condition holds. Returns false where it did not in time.
-  bool until(const std::function<bool()>& condition, Time within = 8'000'000) {
+  bool run_until(const std::function<bool()>& condition, Time within = 8'000'000) {
     const Time end = loop::monotonic_now() + within;
     while (!condition()) {
       if (loop::monotonic_now() > end) return false;
@@ -138,45 +139,46 @@
     return true;
   }
   // How often the message was sent to endpoints.
-  std::size_t called(const std::string& id) const {
+  std::size_t call_count(const std::string& id) const {
     std::size_t n = 0;
     for (const auto& c : calls) {
       n += c.path == "/inbox" && c.id == id;
       if (c.path != "/inbox")
-        for (const auto& bundled : ids_of(c)) n += bundled == id;
+        for (const auto& bundled : bulk_ids(c)) n += bundled == id;
     }
     return n;
   }
   // Whether a post of notices contains the text.
-  bool noticed(const std::string& text) const {
+  bool has_notice(const std::string& text) const {
     return std::any_of(notices.begin(), notices.end(),
                        [&](const std::string& n) { return n.find(text) != std::string::npos; });
   }
   // Whether a log line contains the text.
-  bool logged(const std::string& text) const {
+  bool has_log_line(const std::string& text) const {
     return std::any_of(log.begin(), log.end(),
                        [&](const std::string& n) { return n.find(text) != std::string::npos; });
   }
 
-  struct Listed {
+  struct TestEndpoint {
     int group;
     std::string type, status;
     std::unique_ptr<Server> server;
   };
   loop::Loop loop;
-  std::string state, disk_mb = "3", settings = settings_json();
-  int index = 1;
-  std::size_t discovery = 0;  // index of the one that the configuration names
+  std::string state_folder, disk_mb = "3", settings = settings_json();
+  int list_index = 1;
+  std::size_t discovery_index = 0;  // index of the one that the configuration names
   std::vector<std::unique_ptr<Server>> discoveries;
-  std::map<std::string, Listed> endpoints;
-  std::map<std::string, std::function<Server::Reply(const Call&)>> answers;  // by endpoint
+  std::map<std::string, TestEndpoint> endpoints;
+  std::map<std::string, std::function<Server::Reply(const Call&)>> endpoint_replies;  // by endpoint
   std::vector<Call> calls;
   std::vector<std::string> notices, log;
-  std::vector<std::pair<Server*, int>> watches;    // open, with their connections
-  int outcome_status = 204, asked = 0, posts = 0;  // answer to notices; requests for lists; posts of notices
-  int mute_posts = 0;                              // so many of the next posts of notices get no answer
+  std::vector<std::pair<Server*, int>> open_watches;  // open, with their connections
+  int outcome_status = 204, list_requests = 0,
+      notice_posts = 0;      // answer to notices; requests for lists; posts of notices
+  int unanswered_posts = 0;  // so many of the next posts of notices get no answer
   // Overrides discovery's answer to a request for the list where it returns one.
-  std::function<std::optional<Server::Reply>(const http1::Message&)> says;
+  std::function<std::optional<Server::Reply>(const http1::Message&)> discovery_override;
   std::unique_ptr<Relay> relay;
 
  private:
@@ -184,22 +186,23 @@
     const std::size_t position = discoveries.size();
     return std::make_unique<Server>(loop, [this, position](const http1::Message& m, int n) -> Server::Reply {
       if (m.target == "/v1/outcomes") {
-        posts++;
-        if (mute_posts > 0) return mute_posts--, Server::Reply{};
+        notice_posts++;
+        if (unanswered_posts > 0) return unanswered_posts--, Server::Reply{};
         if (outcome_status == 204) notices.push_back(m.body);
-        return {http1::response(outcome_status, {}, {}, false)};
+        return {http1::build_response(outcome_status, {}, {}, false)};
       }
-      asked++;
-      if (says)
-        if (const auto reply = says(m)) return *reply;
-      if (m.target == "/catalog/members") return {http1::response(200, {}, list(true), false)};
+      list_requests++;
+      if (discovery_override)
+        if (const auto reply = discovery_override(m)) return *reply;
+      if (m.target == "/catalog/members") return {http1::build_response(200, {}, list_json(true), false)};
       const auto after = std::stoi(m.target.substr(m.target.find("after=") + 6));
       const bool no_wait = m.target.find("wait_ms=0") != std::string::npos;
-      if (after < index) return {http1::response(200, {}, list(false), false)};
+      if (after < list_index) return {http1::build_response(200, {}, list_json(false), false)};
       if (no_wait)
-        return {http1::response(
-            200, {}, R"({"index":)" + std::to_string(index) + R"(,"snapshot":false,"endpoints":[]})", false)};
-      watches.emplace_back(discoveries[position].get(), n);
+        return {http1::build_response(
+            200, {}, R"({"index":)" + std::to_string(list_index) + R"(,"snapshot":false,"endpoints":[]})",
+            false)};
+      open_watches.emplace_back(discoveries[position].get(), n);
       return {};
     });
   }
@@ -208,61 +211,63 @@
 // A client's connection to the relay: writes requests and collects the answers.
 class Client {
  public:
-  explicit Client(World& fixture) : Client(fixture, fixture.relay->address()) {}
+  explicit Client(PlatformFixture& fixture) : Client(fixture, fixture.relay->address()) {}
   // `half_open`: it stays open when the other side has shut down its sending.
-  Client(World& fixture, const net::Address& to, bool half_open = false) : world_(fixture) {
+  Client(PlatformFixture& fixture, const net::Address& to, bool half_open = false) : fixture_(fixture) {
     stream_ = std::make_unique<net::TcpStream>(
         fixture.loop, to, 1'000'000,
-        net::Stream::Handlers{
-            .connected = {},
-            .data =
-                [this](std::string_view bytes) {
-                  while (!bytes.empty()) {
-                    bytes.remove_prefix(reader_.take(bytes));
-                    if (reader_.state() != http1::Reader::State::complete) return;
-                    answers.push_back(reader_.message());
-                    reader_.next();
-                  }
-                },
-            .drained = {},
-            .closed =
-                [this](const std::string& why) {
-                  closed = true, reset = why.find("reset") != std::string::npos;
-                },
-            .ended = half_open ? std::function<void()>([this] { ended = true; }) : std::function<void()>()});
+        net::Stream::Handlers{.connected = {},
+                              .data =
+                                  [this](std::string_view bytes) {
+                                    while (!bytes.empty()) {
+                                      bytes.remove_prefix(reader_.consume(bytes));
+                                      if (reader_.state() != http1::Parser::State::complete) return;
+                                      answers.push_back(reader_.message());
+                                      reader_.next();
+                                    }
+                                  },
+                              .drained = {},
+                              .closed =
+                                  [this](const std::string& why) {
+                                    closed = true, reset = why.find("reset") != std::string::npos;
+                                  },
+                              .end_of_input = half_open
+                                                  ? std::function<void()>([this] { sending_ended = true; })
+                                                  : std::function<void()>()});
   }
   // Shuts down sending; reading goes on.
-  void end_sending() { shutdown(stream_->descriptor(), SHUT_WR); }
+  void shutdown_sending() { shutdown(stream_->descriptor(), SHUT_WR); }
   void write(const std::string& bytes) { stream_->write(bytes); }
-  void hand_in(const std::string& id, const std::string& cls = "status", int dest = 7,
-               const std::string& budget = "6.0", const std::string& body = "hello") {
+  void submit(const std::string& id, const std::string& cls = "status", int dest = 7,
+              const std::string& budget = "6.0", const std::string& body = "hello") {
     write(request(id, cls, dest, budget, body));
   }
   static std::string request(const std::string& id, const std::string& cls = "status", int dest = 7,
                              const std::string& budget = "6.0", const std::string& body = "hello") {
-    return http1::request("POST", "/" + cls, "backend.local",
-                          {{"X-Call-Id", id},
-                           {"X-Caller", "acme"},
-                           {"X-Budget", budget},
-                           {"X-Route-To", "dest=" + std::to_string(dest)}},
-                          body);
+    return http1::build_request("POST", "/" + cls, "backend.local",
+                                {{"X-Call-Id", id},
+                                 {"X-Caller", "acme"},
+                                 {"X-Budget", budget},
+                                 {"X-Route-To", "dest=" + std::to_string(dest)}},
+                                body);
   }
   void close() { stream_->close(); }
   // Waits for the next answer and returns its status; 0: closed without one, -1: timed out.
   int status() {
-    const bool came = world_.until([&] { return answers.size() > read_ || closed || ended; });
-    if (answers.size() > read_) return answers[read_++].status;
+    const bool came =
+        fixture_.run_until([&] { return answers.size() > answers_read_ || closed || sending_ended; });
+    if (answers.size() > answers_read_) return answers[answers_read_++].status;
     return came ? 0 : -1;
   }
   std::vector<http1::Message> answers;
   bool closed = false, reset = false;
-  bool ended = false;  // the relay has shut down its sending
+  bool sending_ended = false;  // the relay has shut down its sending
 
  private:
-  World& world_;
+  PlatformFixture& fixture_;
   std::unique_ptr<net::TcpStream> stream_;
-  http1::Reader reader_{http1::Reader::Side::responses};
-  std::size_t read_ = 0;
+  http1::Parser reader_{http1::Parser::Side::responses};
+  std::size_t answers_read_ = 0;
 };
 
 }  // namespace cedarplank::platform::testing
