--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -13,14 +13,14 @@
 // A pool with the record of the steps that it asked for.
 struct PoolFixture {
   Settings settings;
-  Gate gate{2};
+  HandshakeLimiter gate{2};
   LinkId next = 1;
   Pool pool{"e", settings, gate, next, 7};
   Time now = kS;
   CallId calls = 0;
   std::map<LinkId, std::vector<CallId>> on;  // calls submitted, by connection
   std::vector<LinkId> connects, pings;
-  std::vector<std::pair<LinkId, Why>> closes;
+  std::vector<std::pair<LinkId, CloseReason>> closes;
   std::vector<CallId> failed;  // calls whose only connection was never ready
 
   void run() {
@@ -28,31 +28,31 @@
       pool.steps(now, steps);
       if (steps.empty()) return;
       for (const auto& s : steps) {
-        if (s.what == Step::Do::connect) connects.push_back(s.link);
-        if (s.what == Step::Do::submit) on[s.link].push_back(s.call);
-        if (s.what == Step::Do::ping) pings.push_back(s.link);
-        if (s.what != Step::Do::close) continue;
-        closes.emplace_back(s.link, s.why);
-        if (s.why == Why::connect_timeout) {
-          for (const auto c : pool.lost(s.link, now).no_connection) failed.push_back(c);
+        if (s.kind == Step::Kind::connect) connects.push_back(s.link);
+        if (s.kind == Step::Kind::submit) on[s.link].push_back(s.call);
+        if (s.kind == Step::Kind::ping) pings.push_back(s.link);
+        if (s.kind != Step::Kind::close) continue;
+        closes.emplace_back(s.link, s.reason);
+        if (s.reason == CloseReason::connect_timeout) {
+          for (const auto c : pool.connection_lost(s.link, now).unsent_calls) failed.push_back(c);
         } else {
-          pool.closing(s.link);
+          pool.set_closing(s.link);
         }
       }
     }
   }
   void add_calls(int n) {
-    for (int i = 0; i < n; i++) pool.wait(++calls);
+    for (int i = 0; i < n; i++) pool.enqueue(++calls);
     run();
   }
   LinkId make_ready(std::uint32_t streams = 100) {
     const LinkId id = connects.back();
-    pool.standing(id, now, streams);
+    pool.set_ready(id, now, streams);
     run();
     return id;
   }
   void answered(LinkId link, std::size_t n) {
-    for (std::size_t i = 0; i < n; i++) pool.over(link, now), on[link].pop_back();
+    for (std::size_t i = 0; i < n; i++) pool.call_ended(link, now), on[link].pop_back();
     run();
   }
   void after(Time t) { now += t, run(); }
@@ -80,9 +80,9 @@
   r.answered(first, 12), r.answered(second, 7);
   r.add_calls(1);
   EXPECT_EQ(r.on[second].size(), 4u);
-  r.after(r.settings.idle);
+  r.after(r.settings.idle_timeout);
   EXPECT_EQ(r.closes.size(), 2u);
-  for (const auto& [link, why] : r.closes) EXPECT_TRUE(why == Why::idle && link != second);
+  for (const auto& [link, why] : r.closes) EXPECT_TRUE(why == CloseReason::idle && link != second);
 }
 
 TEST(Pool, KeepsToStreamsConnectionsAndTheCapItMet) {
@@ -94,28 +94,29 @@
   EXPECT_EQ(r.pool.waiting(), 18u);
   // Two connect at once now, as many as are ready; the endpoint refuses both, since its limit is two.
   ASSERT_EQ(r.connects.size(), 4u);
-  EXPECT_TRUE(r.pool.lost(r.connects[2], r.now).no_connection.empty());  // others are ready: no call failed
-  EXPECT_TRUE(r.pool.lost(r.connects[3], r.now).no_connection.empty());
+  EXPECT_TRUE(
+      r.pool.connection_lost(r.connects[2], r.now).unsent_calls.empty());  // others are ready: no call failed
+  EXPECT_TRUE(r.pool.connection_lost(r.connects[3], r.now).unsent_calls.empty());
   r.run();
-  EXPECT_EQ(r.pool.cap(), 2);
+  EXPECT_EQ(r.pool.connection_cap(), 2);
   EXPECT_EQ(r.connects.size(), 4u);
-  r.after(r.settings.cap_memory);  // tried again, in case the limit has been raised
+  r.after(r.settings.connection_cap_ttl);  // tried again, in case the limit has been raised
   EXPECT_GT(r.connects.size(), 4u);
   r.make_ready(1);
-  EXPECT_EQ(r.pool.cap(), 0);
+  EXPECT_EQ(r.pool.connection_cap(), 0);
 }
 
 TEST(Pool, WhatWaitsForTheOnlyConnectionFailsWithItAndNothingElse) {
   PoolFixture r;
   r.add_calls(3);
-  const auto loss = r.pool.lost(r.connects[0], r.now);
-  EXPECT_EQ(loss.no_connection, (std::vector<CallId>{1, 2, 3}));
-  EXPECT_FALSE(loss.was_standing);
+  const auto loss = r.pool.connection_lost(r.connects[0], r.now);
+  EXPECT_EQ(loss.unsent_calls, (std::vector<CallId>{1, 2, 3}));
+  EXPECT_FALSE(loss.was_ready);
   r.add_calls(1);
   r.after(r.settings.connect_timeout);  // no SETTINGS arrive
-  EXPECT_EQ(r.closes.back().second, Why::connect_timeout);
+  EXPECT_EQ(r.closes.back().second, CloseReason::connect_timeout);
   EXPECT_EQ(r.pool.waiting(), 0u);
-  EXPECT_EQ(r.gate.inside(), 0);
+  EXPECT_EQ(r.gate.in_progress(), 0);
 }
 
 TEST(Pool, ADeadConnectionTakesNothingNewButWhatIsOutStaysOut) {
@@ -132,12 +133,12 @@
   EXPECT_EQ(r.on[fresh].size(), 1u);
   EXPECT_TRUE(r.closes.empty());  // the module alone gives up the two calls
   // The peer had only been paused: once something is received, the connection is used again.
-  r.pool.heard(dead, r.now);
+  r.pool.data_received(dead, r.now);
   r.answered(dead, 2);
   EXPECT_TRUE(r.closes.empty());
   // Again, with no calls out: it is closed before a call could be lost on it.
   r.after(5 * kS), r.after(r.settings.ping_timeout);
-  const std::pair<LinkId, Why> unhealthy{dead, Why::unhealthy};
+  const std::pair<LinkId, CloseReason> unhealthy{dead, CloseReason::unhealthy};
   EXPECT_EQ(std::count(r.closes.begin(), r.closes.end(), unhealthy), 1);
 }
 
@@ -145,30 +146,30 @@
   std::set<Time> starts;
   for (std::uint64_t seed = 0; seed < 40; seed++) {
     Settings settings;
-    Gate gate(10);
+    HandshakeLimiter gate(10);
     LinkId next = 1;
     Pool pool("e", settings, gate, next, seed);
     std::vector<Step> steps;
-    pool.wait(1);
+    pool.enqueue(1);
     pool.steps(kS, steps);
-    pool.standing(1, kS, 100);
+    pool.set_ready(1, kS, 100);
     pool.steps(kS, steps);
-    pool.draining(1, kS);
+    pool.set_draining(1, kS);
     steps.clear();
     pool.steps(kS, steps);
     EXPECT_TRUE(steps.empty());
     const Time due = pool.next_due();
-    EXPECT_LE(due, kS + settings.replace_spread);
+    EXPECT_LE(due, kS + settings.replace_delay_max);
     starts.insert(due);
     // A call that arrives earlier does not wait for that time.
-    if (seed % 2) pool.wait(2);
+    if (seed % 2) pool.enqueue(2);
     pool.steps(seed % 2 ? kS + 1 : due, steps);
     ASSERT_EQ(steps.size(), 1u);
-    EXPECT_EQ(steps[0].what, Step::Do::connect);
+    EXPECT_EQ(steps[0].kind, Step::Kind::connect);
     // The old connection is closed once its call has ended.
-    pool.over(1, due), steps.clear(), pool.steps(due, steps);
+    pool.call_ended(1, due), steps.clear(), pool.steps(due, steps);
     ASSERT_EQ(steps.size(), 1u);
-    EXPECT_EQ(steps[0].why, Why::goaway);
+    EXPECT_EQ(steps[0].reason, CloseReason::goaway);
   }
   EXPECT_GT(starts.size(), 30u);
 }
@@ -176,7 +177,7 @@
 // A relay that loses all its connections at once never exceeds the handshake limit, and reconnects in order.
 TEST(Pool, AReconnectStormPassesTheGateInOrder) {
   Settings settings;
-  Gate gate(5);
+  HandshakeLimiter gate(5);
   LinkId next = 1;
   std::vector<std::unique_ptr<Pool>> pools;
   std::map<std::string, Pool*> by_name;
@@ -185,33 +186,33 @@
     std::vector<Step> steps;
     pool.steps(kS, steps);
     for (const auto& s : steps)
-      if (s.what == Step::Do::connect) connecting.emplace_back(&pool, s.link);
+      if (s.kind == Step::Kind::connect) connecting.emplace_back(&pool, s.link);
   };
   for (int i = 0; i < 50; i++) {
     pools.push_back(std::make_unique<Pool>("e" + std::to_string(100 + i), settings, gate, next, 1));
     by_name["e" + std::to_string(100 + i)] = pools.back().get();
-    pools.back()->wait(static_cast<CallId>(i + 1));
+    pools.back()->enqueue(static_cast<CallId>(i + 1));
     step(*pools.back());
   }
   std::vector<Pool*> order;
   while (!connecting.empty()) {
-    EXPECT_LE(gate.inside(), 5);
+    EXPECT_LE(gate.in_progress(), 5);
     const auto [pool, link] = connecting.front();
     connecting.erase(connecting.begin());
     order.push_back(pool);
     if (order.size() == 20)
-      pools[40]->withdraw(41);  // needs no connection any more: leaves the queue when its turn comes
+      pools[40]->remove_waiting(41);  // needs no connection any more: leaves the queue when its turn comes
     if (order.size() % 7 == 0)
-      pool->lost(link, kS);
+      pool->connection_lost(link, kS);
     else
-      pool->standing(link, kS, 100);
+      pool->set_ready(link, kS, 100);
     for (int guard = 0; guard < 100; guard++) {
-      const auto who = gate.next();
+      const auto who = gate.next_waiting();
       if (!who) break;
       step(*by_name.at(*who));
     }
   }
-  EXPECT_EQ(gate.inside(), 0);
+  EXPECT_EQ(gate.in_progress(), 0);
   EXPECT_EQ(gate.queued(), 0u);
   EXPECT_EQ(order.size(), 49u);
   // First come, first served.
@@ -238,7 +239,7 @@
       for (const auto& [id, why] : r.closes) {
         EXPECT_TRUE(r.on[id].empty()) << "connection closed with calls out";
         open.erase(id), standing.erase(id), drained.erase(id);
-        r.pool.lost(id, r.now);
+        r.pool.connection_lost(id, r.now);
       }
       for (const auto c : r.failed) EXPECT_EQ(waiting.erase(c), 1u);
       r.failed.clear();
@@ -258,12 +259,12 @@
       };
       switch (random(8)) {
         case 0:
-          for (auto n = random(6); n > 0; n--) waiting.insert(++r.calls), r.pool.wait(r.calls);
+          for (auto n = random(6); n > 0; n--) waiting.insert(++r.calls), r.pool.enqueue(r.calls);
           break;
         case 1:
           if (!open.empty()) {
             const auto id = any(open);
-            if (standing.insert(id).second) r.pool.standing(id, r.now, 1 + random(30));
+            if (standing.insert(id).second) r.pool.set_ready(id, r.now, 1 + random(30));
           }
           break;
         case 2:
@@ -271,26 +272,27 @@
             const auto id = any(open);
             for (const auto c : r.on[id]) out.erase(c);
             r.on.erase(id), open.erase(id), standing.erase(id), drained.erase(id);
-            for (const auto c : r.pool.lost(id, r.now).no_connection) EXPECT_EQ(waiting.erase(c), 1u);
+            for (const auto c : r.pool.connection_lost(id, r.now).unsent_calls)
+              EXPECT_EQ(waiting.erase(c), 1u);
           }
           break;
         case 3:
           if (!standing.empty()) {
             const auto id = any(standing);
-            r.pool.draining(id, r.now), drained.insert(id);
+            r.pool.set_draining(id, r.now), drained.insert(id);
           }
           break;
         case 4:
           for (auto& [id, calls] : r.on)
             if (!calls.empty()) {
-              r.pool.over(id, r.now), out.erase(calls.back()), calls.pop_back();
-              if (random(2)) r.pool.heard(id, r.now);
+              r.pool.call_ended(id, r.now), out.erase(calls.back()), calls.pop_back();
+              if (random(2)) r.pool.data_received(id, r.now);
             }
           break;
         case 5:
           if (!waiting.empty()) {
             const auto c = *waiting.begin();
-            EXPECT_TRUE(r.pool.withdraw(c));
+            EXPECT_TRUE(r.pool.remove_waiting(c));
             waiting.erase(c);
           }
           break;
@@ -308,7 +310,7 @@
         ASSERT_LE(open.size() - drained.size(), static_cast<std::size_t>(r.settings.connections_max));
       }
     }
-    EXPECT_LE(r.gate.inside(), 2);
+    EXPECT_LE(r.gate.in_progress(), 2);
   }
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST(Lost, HeldMessageEndsByItsDeadline) {
-  Relay r;
+  DispatcherHarness r;
   const auto id = r.arrive(kSafe, 99);  // a destination with no endpoint
   r.run_to(10 * kS);
   ASSERT_EQ(r.refused.count(id) + r.failed.count(id), 1u);
@@ -14,7 +14,7 @@
   EXPECT_EQ(r.sends_of(id), 0);
 }
 TEST(Lost, TimeoutAtTheDeadlineIsAnswered) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kSafe, 1, "", 300 * kMs);
   ASSERT_EQ(r.sends_of(id), 1);
@@ -26,7 +26,7 @@
   EXPECT_EQ(r.sends_of(id), 1);
 }
 TEST(Lost, NothingIsSentForAMessageThatIsOver) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kSafe);
   r.round({event::Withdrawn{id}});
@@ -36,9 +36,9 @@
   EXPECT_TRUE(r.failed.empty() && r.refused.empty());
 }
 TEST(Lost, AttemptLimitHolds) {
-  auto s = plain();
+  auto s = default_settings();
   s.attempts_max = 2;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kSafe);
   r.end(id, Outcome::error);
@@ -51,7 +51,7 @@
 
 TEST(Effects, UnsafeIsNotRepeatedWhenItMayHaveRun) {
   for (auto o : {Outcome::error, Outcome::timeout, Outcome::reset, Outcome::cancelled}) {
-    Relay r;
+    DispatcherHarness r;
     r.list({{.id = "a", .destination = 1}});
     const auto id = r.arrive(kUnsafe);
     r.end(id, o);
@@ -63,7 +63,7 @@
 }
 TEST(Effects, UnsafeIsTriedAgainWhenItNeverRan) {
   for (auto o : {Outcome::full, Outcome::connect_failed, Outcome::not_sent}) {
-    Relay r;
+    DispatcherHarness r;
     r.list({{.id = "a", .destination = 1}});
     const auto id = r.arrive(kUnsafe);
     r.end(id, o);
@@ -72,7 +72,7 @@
   }
 }
 TEST(Effects, KeyedIsRepeatedOnlyInItsWindow) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kKeyed);
   const Time first = r.now;
@@ -87,7 +87,7 @@
   EXPECT_EQ(r.failed.count(id) + r.refused.count(id), 1u);
 }
 TEST(Effects, KeyedWindowCountsFromTheAttemptThatMayHaveRun) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kKeyed);
   r.run_to(r.now + 4 * kS);
@@ -100,10 +100,10 @@
   EXPECT_EQ(r.sends_of(id), 3);
 }
 TEST(Effects, KeyedByZoneStaysInTheZone) {
-  auto s = plain();
+  auto s = default_settings();
   s.classes[kKeyed].group = KeyGroup::zone;
   for (int seed = 1; seed < 6; seed++) {
-    Relay r(s, static_cast<std::uint64_t>(seed));
+    DispatcherHarness r(s, static_cast<std::uint64_t>(seed));
     r.list({{.id = "a", .destination = 1, .zone = 0},
             {.id = "b", .destination = 1, .zone = 1},
             {.id = "c", .destination = 1, .zone = 1}});
@@ -123,7 +123,7 @@
 
 TEST(Drains, NothingNewOnceToldThatItDrainsOrIsGone) {
   for (auto listing : {Listing::draining, Listing::gone}) {
-    Relay r;
+    DispatcherHarness r;
     r.list({{.id = "a", .destination = 1}});
     r.change({.id = "a", .destination = 1, .listing = listing});
     r.run_to(r.now + 100 * kMs);
@@ -135,7 +135,7 @@
   }
 }
 TEST(Drains, MissingFromAWholeListIsGone) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}});
   r.list({{.id = "b", .destination = 1}});
   for (int i = 0; i < 6; i++) r.arrive(kSafe);
@@ -146,17 +146,17 @@
 // After an outage, no time window may hold many more calls than this relay's share of what a cold destination
 // withstands.
 void expect_gentle_return(Outcome symptom) {
-  auto s = plain();
+  auto s = default_settings();
   s.fall_multiple = 2, s.cold_from = 0.2, s.cold = 8 * kS;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}});
   const auto serve = [](const Sent&) -> std::optional<Outcome> { return Outcome::served; };
-  r.live(10 * kS, 10, kSafe, 1, serve);
+  r.run_load(10 * kS, 10, kSafe, 1, serve);
   const auto fail = [&](const Sent&) -> std::optional<Outcome> { return symptom; };
-  r.live(8 * kS, 10, kSafe, 1, fail);
+  r.run_load(8 * kS, 10, kSafe, 1, fail);
   EXPECT_LE(r.sends_between(r.now - 3 * kS, r.now), 8) << "calls during the outage";
   const Time back = r.now;
-  r.live(14 * kS, 10, kSafe, 1, serve);
+  r.run_load(14 * kS, 10, kSafe, 1, serve);
   Time first = 0;
   for (const auto& sent : r.sent)
     if (sent.at >= back - 100 * kMs && first == 0) first = sent.at;
@@ -172,7 +172,7 @@
 TEST(Return, AfterBeingShut) { expect_gentle_return(Outcome::full); }
 
 TEST(Waits, ToldWaitHoldsEverySendToTheDestination) {
-  Relay r;
+  DispatcherHarness r;
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}, {.id = "c", .destination = 2}});
   const auto id = r.arrive(kSafe);
   const Time told = r.now;
@@ -187,9 +187,9 @@
   EXPECT_GE(r.sends_between(told + 2 * kS, told + 4 * kS), 1);
 }
 TEST(Waits, ToldWaitHoldsOneRouteWhereRoutesAreApart) {
-  auto s = plain();
+  auto s = default_settings();
   s.kinds[0].routes_apart = true;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}});
   const auto id = r.arrive(kSafe);
   const EndpointId held = r.sent[0].endpoint;
@@ -202,11 +202,11 @@
 }
 
 TEST(Waits, CountFromTheLastOfABundlesOutcomes) {
-  auto s = plain();
+  auto s = default_settings();
   s.kinds[0].bundle_max = 4;
-  Relay r(s);
+  DispatcherHarness r(s);
   r.list({{.id = "a", .destination = 1}});
-  r.live(5 * kS, 10, kSafe, 1, [](const Sent&) { return std::optional(Outcome::served); });
+  r.run_load(5 * kS, 10, kSafe, 1, [](const Sent&) { return std::optional(Outcome::served); });
   for (const auto& sent : std::vector<Sent>(r.out)) r.end(sent.id, Outcome::served);
   std::vector<Event> events;
   for (MessageId id = 100; id < 102; id++) {
@@ -226,13 +226,13 @@
 }
 
 Settings ordered() {
-  auto s = plain();
+  auto s = default_settings();
   s.classes[kSafe].ordered = s.classes[kUnsafe].ordered = true;
   s.settle_after_doubt = 700 * kMs;
   return s;
 }
 TEST(Order, OneAtATimeInTheOrderTaken) {
-  Relay r(ordered());
+  DispatcherHarness r(ordered());
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 2}});
   const auto first = r.arrive(kSafe, 1, "k");
   const auto second = r.arrive(kUnsafe, 2, "k");
@@ -247,7 +247,7 @@
   EXPECT_EQ(r.sends_of(third), 1);
 }
 TEST(Order, WithdrawnMessageStillBlocksWhileItsAttemptIsOut) {
-  Relay r(ordered());
+  DispatcherHarness r(ordered());
   r.list({{.id = "a", .destination = 1}});
   const auto first = r.arrive(kSafe, 1, "k");
   const auto second = r.arrive(kSafe, 1, "k");
@@ -258,7 +258,7 @@
 }
 TEST(Order, TheKeyRestsAfterDoubt) {
   for (auto o : {Outcome::timeout, Outcome::reset, Outcome::cancelled}) {
-    Relay r(ordered());
+    DispatcherHarness r(ordered());
     r.list({{.id = "a", .destination = 1}});
     const auto first = r.arrive(kUnsafe, 1, "k");
     const auto second = r.arrive(kSafe, 1, "k");
--- a/tests/service.hpp
+++ b/tests/service.hpp
@@ -16,17 +16,17 @@
 
 // Runs the loop until `done` returns true; fails after `within`.
 template <class Done>
-void turn(loop::Loop& loop, Done done, Time within = 60 * kS) {
-  const Time until = loop.refresh() + within;
+void run_until(loop::Loop& loop, Done done, Time within = 60 * kS) {
+  const Time until = loop.refresh_now() + within;
   while (!done()) {
-    ASSERT_LT(loop.refresh(), until) << "the expected condition did not occur in time";
+    ASSERT_LT(loop.refresh_now(), until) << "the expected condition did not occur in time";
     loop.run_once(10 * kMs);
   }
 }
 // Runs the loop for a given time.
-inline void rest(loop::Loop& loop, Time time) {
-  const Time until = loop.refresh() + time;
-  while (loop.refresh() < until) loop.run_once(std::min<Time>(5 * kMs, until - loop.now()));
+inline void run_for(loop::Loop& loop, Time time) {
+  const Time until = loop.refresh_now() + time;
+  while (loop.refresh_now() < until) loop.run_once(std::min<Time>(5 * kMs, until - loop.now()));
 }
 
 // An HTTP/2 client whose requests and frames the test controls.
@@ -41,7 +41,7 @@
                                   [this, &loop](std::string_view b) {
                                     std::vector<http2::Event> events;
                                     h2.receive(loop.now(), b, events);
-                                    for (auto& e : events) take(e);
+                                    for (auto& e : events) handle_event(e);
                                     flush();
                                   },
                               .drained = {},
@@ -58,7 +58,7 @@
     if (stream->flushed() > 0) flush();
     return id;
   }
-  void take(http2::Event& e) {
+  void handle_event(http2::Event& e) {
     if (e.type == http2::Event::Type::headers) {
       answers[e.stream]++;
       headers[e.stream] = e.headers;
@@ -94,13 +94,13 @@
 class Service {
  public:
   loop::Loop loop;
-  std::vector<record::Record> frames;  // sent and received at the endpoints
+  std::vector<record::CaptureRecord> frames;  // sent and received at the endpoints
   std::vector<standin::Effect> effects;
   std::vector<std::unique_ptr<standin::Destination>> destinations;
   std::vector<std::string> log;
   config::PartnerList list;
   config::RelaySettings settings;
-  node::Node::DeciderMaker decider = relay::make_dispatcher;
+  node::Node::DeciderFactory decider = relay::make_dispatcher;
   std::unique_ptr<node::Node> node;
 
   Service() {
@@ -130,30 +130,30 @@
     std::filesystem::remove_all(folder, ignored);
   }
   // Adds a destination with `n` stand-in endpoints, which answer quickly by default.
-  standin::Destination& add(const std::string& name, int n, standin::PlaceSettings place = quick(),
+  standin::Destination& add(const std::string& name, int n, standin::CapacitySettings place = quick(),
                             int streams_max = 100, bool smpp = false, int kind = 0) {
     standin::DestinationSettings d;
-    d.name = name, d.place = place, d.key_window = 8 * kS, d.smpp = smpp;
+    d.name = name, d.capacity = place, d.key_window = 8 * kS, d.smpp = smpp;
     for (int i = 0; i < n; i++) {
       standin::EndpointSettings e;
       e.id = name + "-" + std::to_string(i + 1), e.streams_max = streams_max;
       d.endpoints.push_back(e);
     }
     destinations.push_back(std::make_unique<standin::Destination>(
-        loop, d, [this](record::Record&& r) { frames.push_back(std::move(r)); },
+        loop, d, [this](record::CaptureRecord&& r) { frames.push_back(std::move(r)); },
         [this](const standin::Effect& e) { effects.push_back(e); }, destinations.size() + 1));
     for (auto& e : destinations.back()->endpoints()) list_endpoint(name, e->id(), e->address(), kind);
     return *destinations.back();
   }
   // Adds a destination whose endpoints are message centres (SMPP).
-  standin::Destination& add_centre(const std::string& name, int n, const char* kind = "sms",
-                                   standin::PlaceSettings place = quick()) {
+  standin::Destination& add_message_centre(const std::string& name, int n, const char* kind = "sms",
+                                           standin::CapacitySettings place = quick()) {
     const auto& kinds = settings.names.kinds;
     return add(name, n, place, 100, true,
                static_cast<int>(std::find(kinds.begin(), kinds.end(), kind) - kinds.begin()));
   }
-  static standin::PlaceSettings quick() {
-    standin::PlaceSettings p;
+  static standin::CapacitySettings quick() {
+    standin::CapacitySettings p;
     p.servers = 64, p.service = 3 * kMs, p.service_cv = 0, p.queue = 10'000;
     return p;
   }
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -36,11 +36,11 @@
       {c.push("/push/c/status", std::string(5'000, 'x')), "413"},
       {c.push("/push/c/status", "", {{"ttl", "5"}, {"content-length", "0"}}), "201"},
   };
-  turn(s.loop, [&] { return c.answers.size() == wrong.size() + 1; });
+  run_until(s.loop, [&] { return c.answers.size() == wrong.size() + 1; });
   EXPECT_EQ(c.status(good), "201");
   EXPECT_EQ(c.field(good, "location"), "/message/relay-0-1");
   for (const auto& [id, status] : wrong) EXPECT_EQ(c.status(id), status) << id;
-  EXPECT_EQ(s.node->core().counts().taken, 2u);
+  EXPECT_EQ(s.node->core().counts().accepted, 2u);
 }
 
 TEST(Service, PassesOnWhatTheMessageCarries) {
@@ -55,7 +55,7 @@
                           {"urgency", "high"},
                           {"content-type", "text/plain"},
                           {"x-tenant", "a"}});
-  turn(s.loop, [&] { return c.answers.count(id) > 0; });
+  run_until(s.loop, [&] { return c.answers.count(id) > 0; });
   for (const auto& r : s.frames) {
     if (r.what != "HEADERS" || r.sent) continue;
     EXPECT_EQ(r.fields.at("idempotency-key"), "k1");
@@ -77,12 +77,12 @@
   for (const char* e : {"c-1", "c-2"}) s.endpoint(e).begin(fault(Fault::drop_after_take));
   Client c(s.loop, s.node->address());
   const auto id = c.push("/push/c/pay", "id=p1;");
-  turn(s.loop, [&] { return c.answers.count(id) > 0; });
+  run_until(s.loop, [&] { return c.answers.count(id) > 0; });
   EXPECT_EQ(c.status(id), "502");
   EXPECT_EQ(c.field(id, "retry-after"), "");
   EXPECT_NE(c.bodies[id].find("\"attempts\":1"), std::string::npos) << c.bodies[id];
   EXPECT_NE(c.bodies[id].find("\"class\":\"pay\""), std::string::npos) << c.bodies[id];
-  rest(s.loop, 300 * kMs);
+  run_for(s.loop, 300 * kMs);
   EXPECT_EQ(s.calls(), 1u);
   EXPECT_EQ(s.effects_of("p1"), 1u);
 }
@@ -94,9 +94,9 @@
   s.endpoint("c-1").begin(fault(Fault::drop_after_take));
   Client c(s.loop, s.node->address());
   const auto id = c.push("/push/c/status", "id=p1;");
-  turn(s.loop, [&] { return s.calls() >= 1; });
+  run_until(s.loop, [&] { return s.calls() >= 1; });
   s.endpoint("c-1").end(Fault::drop_after_take);
-  turn(s.loop, [&] { return c.answers.count(id) > 0; });
+  run_until(s.loop, [&] { return c.answers.count(id) > 0; });
   EXPECT_EQ(c.status(id), "201");
 }
 
@@ -110,11 +110,11 @@
   s.start();
   Client c(s.loop, s.node->address());
   const auto first = c.push("/push/c/pay", "id=w;");
-  turn(s.loop, [&] { return c.answers.count(first) > 0; });
+  run_until(s.loop, [&] { return c.answers.count(first) > 0; });
   s.endpoint("c-1").begin(fault(Fault::goaway, 0.06));
   std::vector<http2::StreamId> ids;
   for (int i = 0; i < 50; i++) ids.push_back(c.push("/push/c/pay", "id=g" + std::to_string(i) + ";"));
-  turn(s.loop, [&] { return c.answers.size() == 51; });
+  run_until(s.loop, [&] { return c.answers.size() == 51; });
   std::size_t goaways = 0;
   for (const auto& r : s.frames) goaways += r.what == "GOAWAY" && r.sent;
   EXPECT_GT(goaways, 0u);
@@ -129,7 +129,7 @@
   s.endpoint("c-1").begin(fault(Fault::refused_stream, 0.5));
   Client c(s.loop, s.node->address());
   for (int i = 0; i < 10; i++) c.push("/push/c/pay", "id=r" + std::to_string(i) + ";");
-  turn(s.loop, [&] { return c.answers.size() == 10; });
+  run_until(s.loop, [&] { return c.answers.size() == 10; });
   for (int i = 0; i < 10; i++) EXPECT_LE(s.effects_of("r" + std::to_string(i)), 1u);
   EXPECT_GT(s.calls(), 10u);
 }
@@ -146,7 +146,7 @@
   s.start();
   Client c(s.loop, s.node->address());
   for (int i = 0; i < 8; i++) c.push("/push/c/pay", "id=h" + std::to_string(i) + ";");
-  turn(s.loop, [&] { return c.answers.size() == 8; });
+  run_until(s.loop, [&] { return c.answers.size() == 8; });
   for (const auto& [id, n] : c.answers) EXPECT_EQ(c.status(id), "201");
 }
 
@@ -165,7 +165,7 @@
     s.start();
     Client c(s.loop, s.node->address());
     for (int i = 0; i < 8; i++) c.push("/push/c/pay", "id=o" + std::to_string(i) + ";");
-    turn(s.loop, [&] { return c.answers.size() == 8; });
+    run_until(s.loop, [&] { return c.answers.size() == 8; });
     for (const auto& [id, n] : c.answers) EXPECT_EQ(c.status(id), "201");
     for (int i = 0; i < 8; i++) EXPECT_EQ(s.effects_of("o" + std::to_string(i)), 1u);
   }
@@ -182,11 +182,11 @@
   Client c(s.loop, s.node->address());
   std::vector<http2::StreamId> ids;
   for (int i = 0; i < 20; i++) ids.push_back(c.push("/push/c/status", "id=x" + std::to_string(i) + ";"));
-  turn(s.loop, [&] { return s.calls() > 0; });
+  run_until(s.loop, [&] { return s.calls() > 0; });
   c.h2.reset(ids[7], Code::cancel);
   c.flush();
-  turn(s.loop, [&] { return c.answers.size() == 19; });
-  rest(s.loop, 200 * kMs);
+  run_until(s.loop, [&] { return c.answers.size() == 19; });
+  run_for(s.loop, 200 * kMs);
   EXPECT_EQ(c.answers.count(ids[7]), 0u);
   EXPECT_EQ(s.node->core().counts().withdrawn, 1u);
   EXPECT_EQ(s.node->core().held(), 0u);
@@ -200,11 +200,11 @@
   s.start();
   auto c = std::make_unique<Client>(s.loop, s.node->address());
   for (int i = 0; i < 50; i++) c->push("/push/c/status", "id=x" + std::to_string(i) + ";");
-  turn(s.loop, [&] { return s.calls() > 0; });
+  run_until(s.loop, [&] { return s.calls() > 0; });
   c.reset();
-  turn(s.loop, [&] { return s.node->core().held() == 0; });
-  const Time gone = s.loop.refresh();
-  rest(s.loop, 400 * kMs);
+  run_until(s.loop, [&] { return s.node->core().held() == 0; });
+  const Time gone = s.loop.refresh_now();
+  run_for(s.loop, 400 * kMs);
   EXPECT_EQ(s.calls("", gone + 50 * kMs), 0u);  // nothing is sent for cancelled messages
 }
 
@@ -216,13 +216,13 @@
   http2::LocalSettings no_window;
   no_window.initial_window_size = 0;
   Client stuck(s.loop, s.node->address(), no_window), fine(s.loop, s.node->address());
-  turn(s.loop, [&] { return stuck.h2.settings_acknowledged(); });
+  run_until(s.loop, [&] { return stuck.h2.settings_acknowledged(); });
   const auto owed = stuck.push("/push/c/other", "");  // a 404 whose body finds no window
-  turn(s.loop, [&] { return stuck.answers.count(owed) > 0; });
+  run_until(s.loop, [&] { return stuck.answers.count(owed) > 0; });
   const auto id = fine.push("/push/c/status", "id=f;");
-  turn(s.loop, [&] { return fine.answers.count(id) > 0; });
+  run_until(s.loop, [&] { return fine.answers.count(id) > 0; });
   EXPECT_EQ(fine.status(id), "201");
-  turn(s.loop, [&] { return stuck.closed; });  // after stalled_after
+  run_until(s.loop, [&] { return stuck.closed; });  // after stalled_after
   EXPECT_EQ(stuck.bodies[owed], "");
 }
 
@@ -235,7 +235,7 @@
   s.start();
   Client c(s.loop, s.node->address());
   for (int i = 0; i < 6; i++) c.push("/push/c/status", "id=a" + std::to_string(i) + ";");
-  turn(s.loop, [&] { return c.answers.size() == 6; });
+  run_until(s.loop, [&] { return c.answers.size() == 6; });
   for (const char* e : {"c-1", "c-2"}) s.endpoint(e).begin(fault(Fault::shut, 1, 1 * kS));
   for (int i = 0; i < 40; i++) c.push("/push/c/pay", "id=w" + std::to_string(i) + ";");
   Time told = 0;
@@ -244,8 +244,8 @@
       if (told == 0 && r.what == "HEADERS" && r.sent && r.fields.count("retry-after")) told = r.at;
     return told != 0;
   };
-  turn(s.loop, find_told);
-  rest(s.loop, 900 * kMs);
+  run_until(s.loop, find_told);
+  run_for(s.loop, 900 * kMs);
   std::size_t within = 0;
   for (const auto& r : s.frames)
     within += r.what == "HEADERS" && !r.sent && r.at > told + 50 * kMs && r.at < told + 1 * kS;
@@ -263,15 +263,15 @@
   s.start();
   Client c(s.loop, s.node->address());
   for (int i = 0; i < 20; i++) c.push("/push/c/pay", "id=l" + std::to_string(i) + ";");
-  turn(s.loop, [&] { return s.calls("c-1") > 0 && s.calls("c-2") > 0; });
+  run_until(s.loop, [&] { return s.calls("c-1") > 0 && s.calls("c-2") > 0; });
   s.list.endpoints.erase(s.list.endpoints.begin());  // c-1
   s.write_list();
-  const Time written = s.loop.refresh();
+  const Time written = s.loop.refresh_now();
   for (int i = 20; i < 120; i++) {
     c.push("/push/c/pay", "id=l" + std::to_string(i) + ";");
-    rest(s.loop, 5 * kMs);
+    run_for(s.loop, 5 * kMs);
   }
-  turn(s.loop, [&] { return c.answers.size() == 120; });
+  run_until(s.loop, [&] { return c.answers.size() == 120; });
   for (const auto& [id, n] : c.answers) EXPECT_EQ(c.status(id), "201");
   const Time grace = s.settings.partners_reread + s.settings.dispatcher.drain_grace;
   EXPECT_EQ(s.calls("c-1", written + grace + 50 * kMs), 0u);
@@ -290,26 +290,26 @@
   };
   const std::string whole = config::write_partners(s.list, s.settings.names);
   s.write_text(whole.substr(0, whole.size() / 2));
-  turn(s.loop, logged("kept the old one"));
+  run_until(s.loop, logged("kept the old one"));
   s.write_text("count: 1\npartners: []\n");
-  turn(s.loop, logged("half written"));
+  run_until(s.loop, logged("half written"));
   std::filesystem::remove(s.folder + "/partners.yaml");
-  turn(s.loop, logged("is not there"));
+  run_until(s.loop, logged("is not there"));
   Client c(s.loop, s.node->address());
   const auto id = c.push("/push/c/status", "id=a;");
-  turn(s.loop, [&] { return c.answers.count(id) > 0; });
+  run_until(s.loop, [&] { return c.answers.count(id) > 0; });
   EXPECT_EQ(c.status(id), "201");
   // A relay that starts while the list cannot be read uses its cached list.
   s.node.reset();
   s.node = std::make_unique<node::Node>(
       s.loop, s.settings, [&](const char* e, const std::string& t) { s.log.push_back(std::string(e) + t); });
-  turn(s.loop, logged("started with the one kept"));
+  run_until(s.loop, logged("started with the one kept"));
   Client again(s.loop, s.node->address());
   const auto second = again.push("/push/c/status", "id=b;");
-  turn(s.loop, [&] { return again.answers.count(second) > 0; });
+  run_until(s.loop, [&] { return again.answers.count(second) > 0; });
   EXPECT_EQ(again.status(second), "201");
   s.write_text(whole);
-  turn(s.loop, logged("readable again"));
+  run_until(s.loop, logged("readable again"));
 }
 
 TEST(Service, BeyondItsBufferARelayTakesNothing) {
@@ -321,14 +321,14 @@
   s.start();
   Client c(s.loop, s.node->address());
   for (int i = 0; i < 40; i++) c.push("/push/c/pay", "id=b" + std::to_string(i) + ";");
-  turn(s.loop, [&] { return c.answers.size() == 40; });
+  run_until(s.loop, [&] { return c.answers.size() == 40; });
   std::size_t full = 0;
   for (const auto& [id, n] : c.answers) {
     EXPECT_EQ(n, 1);
     full += c.bodies[id].find("holds all it may") != std::string::npos;
   }
   EXPECT_GE(full, 20u);
-  EXPECT_EQ(s.node->core().counts().not_taken, full);
+  EXPECT_EQ(s.node->core().counts().rejected, full);
 }
 
 // Admission control limits held messages and bodies by tenants' shares before messages reach the core, and
@@ -342,42 +342,44 @@
     relay::NewMessage m;
     m.destination = *s.node->destination("c"), m.tenant = tenant, m.time_left = 6 * kS;
     m.body.assign(bytes, 'x');
-    struct IgnoredAnswers final : relay::Answers {
-      void served(MessageId, const relay::Ending&) override {}
-      void refused(MessageId, Time, const relay::Account&) override {}
-      void failed(MessageId, const relay::Account&) override {}
+    struct IgnoredAnswers final : relay::AnswerSink {
+      void served(MessageId, const relay::CallResult&) override {}
+      void refused(MessageId, Time, const relay::AttemptSummary&) override {}
+      void failed(MessageId, const relay::AttemptSummary&) override {}
     };
     static IgnoredAnswers ignored;
-    return s.node->take(std::move(m), ignored, [](MessageId) {});
+    return s.node->accept(std::move(m), ignored, [](MessageId) {});
   };
-  turn(s.loop, [&] { return s.node->destination("c").has_value(); });
-  EXPECT_EQ(take(-1, 10).taken, relay::Core::Taken::yes);
-  EXPECT_NE(std::string(take(0, 5'000).why).find("bodies held"), std::string::npos);
-  for (int i = 0; i < 18; i++) EXPECT_EQ(take(0, 10).taken, relay::Core::Taken::yes) << i;
-  EXPECT_NE(std::string(take(0, 10).why).find("holds its share"), std::string::npos);
-  EXPECT_EQ(take(-1, 10).taken, relay::Core::Taken::yes);
-  EXPECT_NE(std::string(take(-1, 10).why).find("all it may"), std::string::npos);
-  EXPECT_EQ(s.node->core().counts().not_taken, 3u);
-  turn(s.loop, [&] { return s.node->core().held() == 0; });
-  EXPECT_EQ(s.node->door().held(), 0u);
+  run_until(s.loop, [&] { return s.node->destination("c").has_value(); });
+  EXPECT_EQ(take(-1, 10).status, relay::Core::AcceptStatus::accepted);
+  EXPECT_NE(std::string(take(0, 5'000).reason).find("bodies held"), std::string::npos);
+  for (int i = 0; i < 18; i++) EXPECT_EQ(take(0, 10).status, relay::Core::AcceptStatus::accepted) << i;
+  EXPECT_NE(std::string(take(0, 10).reason).find("holds its share"), std::string::npos);
+  EXPECT_EQ(take(-1, 10).status, relay::Core::AcceptStatus::accepted);
+  EXPECT_NE(std::string(take(-1, 10).reason).find("all it may"), std::string::npos);
+  EXPECT_EQ(s.node->core().counts().rejected, 3u);
+  run_until(s.loop, [&] { return s.node->core().held() == 0; });
+  EXPECT_EQ(s.node->admission_controller().held(), 0u);
 }
 
 TEST(Service, ClientsAreToldHowManyStreamsTheyMayOpenNow) {
   Service s;
   int streams = 50;
-  gateway::Front front(
+  gateway::PushServer front(
       s.loop, s.settings,
-      {.destination = [](const std::string&) { return std::optional<DestinationId>(); },
-       .take = [](relay::NewMessage, const std::function<void(MessageId)>&) { return relay::Entry{}; },
+      {.find_destination = [](const std::string&) { return std::optional<DestinationId>(); },
+       .accept = [](relay::NewMessage,
+                    const std::function<void(MessageId)>&) { return relay::AcceptResult{}; },
        .withdraw = [](MessageId) {},
-       .streams = [&] { return streams; },
+       .client_streams_max = [&] { return streams; },
        .log = [](const std::string&) {}});
   Client c(s.loop, front.address());
   for (const int now : {50, 7, 30}) {
     streams = now;
     const auto id = c.push("/push/c/pay", "x");
-    turn(s.loop,
-         [&] { return c.answers[id] == 1 && c.h2.peer_max_streams() == static_cast<std::uint32_t>(now); });
+    run_until(s.loop, [&] {
+      return c.answers[id] == 1 && c.h2.peer_max_streams() == static_cast<std::uint32_t>(now);
+    });
   }
 }
 
@@ -391,15 +393,15 @@
   s.endpoint("quiet-1").begin(fault(Fault::silent));
   Client c(s.loop, s.node->address());
   const auto lost = c.push("/push/quiet/pay", "id=a;"), safe = c.push("/push/quiet/status", "id=b;");
-  turn(s.loop, [&] { return s.calls("quiet-1") >= 2; });
+  run_until(s.loop, [&] { return s.calls("quiet-1") >= 2; });
   const auto fine = c.push("/push/c/pay", "id=c;");
-  turn(s.loop, [&] { return s.calls("c-1") == 1; });
-  s.node->stop_taking();
-  turn(s.loop, [&] { return c.goaway && c.answers.count(fine) > 0; });
+  run_until(s.loop, [&] { return s.calls("c-1") == 1; });
+  s.node->stop_accepting();
+  run_until(s.loop, [&] { return c.goaway && c.answers.count(fine) > 0; });
   const auto late = c.push("/push/c/pay", "id=d;");  // 0: after the GOAWAY the client opens no more streams
   EXPECT_EQ(late, 0u);
   s.node->end_all();
-  turn(s.loop, [&] { return c.answers.size() == 3 && s.node->drained(); });
+  run_until(s.loop, [&] { return c.answers.size() == 3 && s.node->drained(); });
   EXPECT_EQ(c.status(fine), "201");
   EXPECT_EQ(c.status(lost), "502");  // its call may have taken effect
   EXPECT_EQ(c.status(safe), "503");
@@ -413,7 +415,7 @@
   s.start();
   Client c(s.loop, s.node->address());
   for (int i = 0; i < 100; i++) c.push("/push/c/pay", "id=k" + std::to_string(i) + ";");
-  turn(s.loop, [&] { return c.answers.size() == 100; });
+  run_until(s.loop, [&] { return c.answers.size() == 100; });
   for (const auto& r : s.frames)
     EXPECT_FALSE(r.what == "RST_STREAM" && r.sent) << "a stream beyond the limit";
   EXPECT_GT(s.node->connections_opened(), 1u);
@@ -421,14 +423,14 @@
 }
 
 TEST(Service, WorksByteByByte) {
-  net::TcpStream::limit_io(1);
+  net::TcpStream::limit_io_size(1);
   Service s;
   s.add("c", 2);
   s.start();
   Client c(s.loop, s.node->address());
   for (int i = 0; i < 10; i++) c.push("/push/c/pay", "id=y" + std::to_string(i) + ";");
-  turn(s.loop, [&] { return c.answers.size() == 10; });
-  net::TcpStream::limit_io(0);
+  run_until(s.loop, [&] { return c.answers.size() == 10; });
+  net::TcpStream::limit_io_size(0);
   for (int i = 0; i < 10; i++) EXPECT_EQ(s.effects_of("y" + std::to_string(i)), 1u);
 }
 
@@ -458,15 +460,15 @@
                            return std::pair(std::size_t{0}, path);
                          });
   client.start();
-  turn(
+  run_until(
       s.loop, [&] { return client.done(); }, 200 * kS);
   std::uint64_t final = 0, reset = 0, bad = 0;
   for (const auto& t : client.tallies())
-    final += t.served + t.refused + t.failed, reset += t.reset, bad += t.bad + t.lost;
+    final += t.served + t.refused + t.failed, reset += t.reset, bad += t.unexpected + t.lost;
   EXPECT_EQ(final + reset, 10'000u);
   EXPECT_EQ(bad, 0u);
-  EXPECT_EQ(client.doubled(), 0u);
-  turn(s.loop, [&] { return s.node->core().held() == 0; });
+  EXPECT_EQ(client.duplicate_answers(), 0u);
+  run_until(s.loop, [&] { return s.node->core().held() == 0; });
   // Served messages took effect, and no unsafe message took effect twice.
   std::map<std::string, int> by_message;
   for (const auto& e : s.effects) by_message[e.message]++;
--- a/tests/smpp_back_test.cpp
+++ b/tests/smpp_back_test.cpp
@@ -31,7 +31,7 @@
     return stream;
   }
   void until_all_answered() {
-    turn(s.loop, [&] { return client->answers.size() == asked.size(); });
+    run_until(s.loop, [&] { return client->answers.size() == asked.size(); });
     for (const auto& [stream, n] : client->answers) EXPECT_EQ(n, 1) << asked[stream];
   }
   std::size_t count(const char* status) {
@@ -48,7 +48,7 @@
 };
 
 TEST_F(SmppBack, MessagesOfEachClassAndLengthArriveWhole) {
-  s.add_centre("centre", 2);
+  s.add_message_centre("centre", 2);
   start();
   push("status", "short"), push("pay", "pay-1"), push("notice", "n-1");
   push("pay", "long", 1000);  // seven parts, one message
@@ -62,23 +62,23 @@
 }
 
 TEST_F(SmppBack, ABindThatDropsWithFiftyOutLeavesThemInDoubt) {
-  auto& centre = s.add_centre("centre", 1);
+  auto& centre = s.add_message_centre("centre", 1);
   start();
   // Warm-up, so that the dispatcher allows this many outstanding calls.
-  centre.place_of("centre-1").set_slowness(30);
+  centre.capacity_of("centre-1").set_service_factor(30);
   for (int i = 0; i < 600; i++) push("status", "w-" + std::to_string(i));
   until_all_answered();
   const std::size_t before = s.calls(), effects = s.effects.size();
   asked.clear(), client->answers.clear();
-  centre.place_of("centre-1").set_slowness(600);
+  centre.capacity_of("centre-1").set_service_factor(600);
   for (int i = 0; i < 60; i++) push(i % 2 == 0 ? "pay" : "status", "m-" + std::to_string(i));
-  turn(
+  run_until(
       s.loop, [&] { return s.calls() >= before + 50; }, 3 * kS);
   EXPECT_EQ(s.effects.size(), effects);
   const Time dropped = s.loop.now();
   s.endpoint("centre-1").begin({.fault = Fault::refuse});  // resets established connections
   s.endpoint("centre-1").end(Fault::refuse);
-  centre.place_of("centre-1").set_slowness(1);
+  centre.capacity_of("centre-1").set_service_factor(1);
   std::set<std::string> out;
   for (const auto& r : s.frames)
     if (r.what == "DATA" && r.at <= dropped) out.insert(r.message);
@@ -94,7 +94,7 @@
 }
 
 TEST_F(SmppBack, APartRefusedAfterOthersWereTakenLeavesDoubt) {
-  auto& centre = s.add_centre("centre", 1, "plain-sms");
+  auto& centre = s.add_message_centre("centre", 1, "plain-sms");
   (void)centre;
   start();
   fault(Fault::refused_stream);  // ESME_RMSGQFUL for the part that completes a message
@@ -106,14 +106,14 @@
   EXPECT_EQ(s.calls(), 1u);
   // A refused message of a single part has not run, and is sent again.
   const auto single = push("pay", "single", 0, {{"recipient", "123"}});
-  turn(s.loop, [&] { return s.calls() >= 3; });
+  run_until(s.loop, [&] { return s.calls() >= 3; });
   fault_over(Fault::refused_stream);
   until_all_answered();
   EXPECT_EQ(client->status(single), "201");
 }
 
 TEST_F(SmppBack, ResponsesTwiceOutOfOrderAndReceiptsNobodyAskedFor) {
-  s.add_centre("centre", 2);
+  s.add_message_centre("centre", 2);
   start();
   fault(Fault::twice, 0.5), fault(Fault::out_of_order, 0.5), fault(Fault::early_receipt, 0.3),
       fault(Fault::stray_receipt, 0.3);
@@ -127,14 +127,14 @@
 TEST_F(SmppBack, AResponseAfterItsTimeIsNoAnswer) {
   auto place = Service::quick();
   place.service = 2'500 * kMs;
-  s.add_centre("centre", 1, "sms", place);
+  s.add_message_centre("centre", 1, "sms", place);
   start();
   const auto late = push("pay", "late", 0, {}, "1");
   until_all_answered();
   EXPECT_EQ(client->status(late)[0], '5');
   EXPECT_NE(client->status(late), "503");
-  turn(s.loop, [&] { return s.effects_of("late") == 1; });
-  rest(s.loop, 50 * kMs);
+  run_until(s.loop, [&] { return s.effects_of("late") == 1; });
+  run_for(s.loop, 50 * kMs);
   EXPECT_EQ(client->answers[late], 1);
   // The bind is still usable.
   const auto next = push("pay", "next", 0, {}, "8");
@@ -143,7 +143,7 @@
 }
 
 TEST_F(SmppBack, RefusedBindsProveThatNothingRan) {
-  s.add_centre("centre", 1);
+  s.add_message_centre("centre", 1);
   start();
   fault(Fault::bind_refused);
   const auto pay = push("pay", "p", 0, {}, "2");
@@ -157,13 +157,13 @@
 }
 
 TEST_F(SmppBack, ThrottlingIsRefusalAndAToldWaitHolds) {
-  s.add_centre("centre", 1);
+  s.add_message_centre("centre", 1);
   start();
   push("status", "first");
   until_all_answered();
   s.endpoint("centre-1").begin({.fault = Fault::shut, .wait = 1 * kS});  // ESME_RSYSERR with a told wait
   push("status", "told");
-  turn(s.loop, [&] { return s.calls() == 2; });
+  run_until(s.loop, [&] { return s.calls() == 2; });
   const Time told = s.loop.now();
   fault_over(Fault::shut);
   push("status", "held");
@@ -176,10 +176,10 @@
 }
 
 TEST_F(SmppBack, ACentreThatUnbindsTakesNoMoreThere) {
-  s.add_centre("centre", 1);
+  s.add_message_centre("centre", 1);
   start();
   for (int i = 0; i < 100; i++) push("pay", "m-" + std::to_string(i));
-  turn(s.loop, [&] { return s.effects.size() >= 5; });
+  run_until(s.loop, [&] { return s.effects.size() >= 5; });
   fault(Fault::goaway, 0.05);
   for (int i = 100; i < 400; i++) push("pay", "m-" + std::to_string(i));
   until_all_answered();
@@ -188,7 +188,7 @@
 }
 
 TEST_F(SmppBack, WhatACentreCannotHaveIsNotTaken) {
-  s.add_centre("centre", 1, "plain-sms");
+  s.add_message_centre("centre", 1, "plain-sms");
   start();
   const auto nowhere = push("status", "nowhere"), keyed = push("notice", "k", 0, {{"recipient", "1"}}),
              odd = push("status", "odd", 0, {{"recipient", "not a number"}});
--- a/tests/smpp_front_test.cpp
+++ b/tests/smpp_front_test.cpp
@@ -31,19 +31,19 @@
   }
   std::unique_ptr<Esme> bound(const std::string& who = "bank", Command how = Command::bind_transceiver) {
     auto e = std::make_unique<Esme>(s.loop, s.node->smpp_address(), who, "secret", how);
-    turn(s.loop, [&] { return e->session.bound(); });
+    run_until(s.loop, [&] { return e->session.bound(); });
     return e;
   }
   void answered(Esme& e, std::size_t n) {
-    turn(s.loop, [&] { return e.responses.size() >= n; });
+    run_until(s.loop, [&] { return e.responses.size() >= n; });
   }
   void receipted(Esme& e, std::size_t n) {
-    turn(s.loop, [&] { return e.receipts.size() >= n; });
+    run_until(s.loop, [&] { return e.receipts.size() >= n; });
   }
 };
 
 TEST_F(SmppFront, MessagesComeInBySmppAndLeaveByEither) {
-  s.add("push", 2), s.add_centre("centre", 2);
+  s.add("push", 2), s.add_message_centre("centre", 2);
   s.start();
   auto e = bound();
   const auto a = e->submit(Esme::message("push", "", body("to-push"))),
@@ -51,7 +51,7 @@
   const auto c = e->submit(Esme::message("+255711", "", body("by-prefix"))),
              d = e->submit(Esme::message("+255799", "", body("by-number")));
   answered(*e, 4), receipted(*e, 4);
-  for (const auto n : {a, b, c, d}) EXPECT_EQ(e->state(n), sms::kDelivered);
+  for (const auto n : {a, b, c, d}) EXPECT_EQ(e->receipt_state(n), sms::kDelivered);
   EXPECT_EQ(s.calls("push-1") + s.calls("push-2"), 2u);
   EXPECT_EQ(s.effects.size(), 4u);
   const auto& receipt = e->deliveries[0];
@@ -61,7 +61,7 @@
 }
 
 TEST_F(SmppFront, WhatIsWrongIsToldAndNotTaken) {
-  s.add("push", 1), s.add_centre("centre", 1, "plain-sms");
+  s.add("push", 1), s.add_message_centre("centre", 1, "plain-sms");
   s.start();
   auto e = bound();
   std::map<std::uint32_t, smpp::Status> expected;
@@ -75,7 +75,7 @@
   wrong(st::invalid_destination, Esme::message("centre", "", "no recipient there"));
   auto m = Esme::message("push", "", "x");
   m.validity = "000000000000000X", wrong(st::invalid_validity, m);
-  m.validity = sms::relative_time(1 * kS), m.schedule = sms::relative_time(9 * kS),
+  m.validity = sms::format_relative_time(1 * kS), m.schedule = sms::format_relative_time(9 * kS),
   wrong(st::invalid_validity, m);
   m.schedule = "999999999999999Z", wrong(st::invalid_schedule, m);
   m = Esme::message("push", "", "x"), m.esm_class = 2, wrong(st::invalid_esm_class, m);
@@ -87,7 +87,7 @@
   expected[e->submit(Esme::message("push", "", "right"))] = st::ok;
   answered(*e, expected.size());
   for (const auto& [n, status] : expected) EXPECT_EQ(e->status(n), status) << n;
-  rest(s.loop, 50 * kMs);
+  run_for(s.loop, 50 * kMs);
   EXPECT_EQ(s.calls(), 1u) << "only the valid one";
 }
 
@@ -97,22 +97,24 @@
   auto e = bound();
   std::string text = body("long");
   while (text.size() < 600) text += "word ";
-  auto parts = smpp::in_parts(Esme::message("push", "", ""), text, smpp::Coding::gsm7, smpp::Split::udh, 7);
+  auto parts =
+      smpp::split_message(Esme::message("push", "", ""), text, smpp::Coding::gsm7, smpp::Split::udh, 7);
   ASSERT_GE(parts.size(), 4u);
   std::swap(parts[0], parts[2]);
   parts.insert(parts.begin() + 1, parts[0]);  // and one comes twice
   std::set<std::uint32_t> all;
   for (const auto& p : parts) all.insert(e->submit(p));
   answered(*e, parts.size()), receipted(*e, 1);
-  for (const auto n : all) EXPECT_EQ(e->ids[n], e->ids[*all.begin()]);
-  EXPECT_EQ(e->state(*all.begin()), sms::kDelivered);
+  for (const auto n : all) EXPECT_EQ(e->message_ids[n], e->message_ids[*all.begin()]);
+  EXPECT_EQ(e->receipt_state(*all.begin()), sms::kDelivered);
   EXPECT_EQ(s.effects_of("long"), 1u);
   // An incomplete message is refused when its validity ends.
-  parts = smpp::in_parts(Esme::message("push", "PAY", ""), text, smpp::Coding::gsm7, smpp::Split::sar, 8);
-  parts[1].validity = sms::relative_time(1 * kS);
+  parts =
+      smpp::split_message(Esme::message("push", "PAY", ""), text, smpp::Coding::gsm7, smpp::Split::sar, 8);
+  parts[1].validity = sms::format_relative_time(1 * kS);
   const auto n = e->submit(parts[1]);
   receipted(*e, 2);
-  EXPECT_EQ(e->state(n), sms::kRejected);
+  EXPECT_EQ(e->receipt_state(n), sms::kRejected);
 }
 
 TEST_F(SmppFront, ReceiptsWaitForAClientThatHasUnbound) {
@@ -124,18 +126,18 @@
   std::set<std::string> ids;
   for (int i = 0; i < 20; i++) e->submit(Esme::message("push", "PAY", body("m-" + std::to_string(i), "pay")));
   answered(*e, 20);
-  for (const auto& [n, id] : e->ids) ids.insert(id);
+  for (const auto& [n, id] : e->message_ids) ids.insert(id);
   e->session.unbind(s.loop.now()), e->flush();  // while all of them are in flight
-  turn(s.loop, [&] { return e->closed; });
-  turn(s.loop, [&] { return s.effects.size() == 20 && s.node->core().held() == 0; });
+  run_until(s.loop, [&] { return e->closed; });
+  run_until(s.loop, [&] { return s.effects.size() == 20 && s.node->core().held() == 0; });
   auto other = bound("cellar");  // another client gets none of them
-  rest(s.loop, 50 * kMs);
+  run_for(s.loop, 50 * kMs);
   EXPECT_TRUE(other->deliveries.empty());
   // Receipts sent on a bind that closes without answering them are not lost.
   auto mute =
       std::make_unique<Esme>(s.loop, s.node->smpp_address(), "bank", "secret", Command::bind_receiver);
-  mute->answers = false;
-  turn(s.loop, [&] { return mute->deliveries.size() == 20; });
+  mute->answer_receipts = false;
+  run_until(s.loop, [&] { return mute->deliveries.size() == 20; });
   mute->stream->close(true);
   auto again = bound("bank", Command::bind_receiver);
   receipted(*again, 20);
@@ -152,18 +154,18 @@
   s.endpoint("push-1").begin({.fault = emulator::Fault::errors});
   const auto doubt = e->submit(Esme::message("push", "PAY", body("doubt", "pay")));
   receipted(*e, 1);
-  EXPECT_EQ(e->state(doubt), sms::kUnknown);
+  EXPECT_EQ(e->receipt_state(doubt), sms::kUnknown);
   s.endpoint("push-1").end(emulator::Fault::errors);
   s.endpoint("push-1").begin({.fault = emulator::Fault::down});
   auto m = Esme::message("push", "PAY", body("unsent", "pay"));
-  m.validity = sms::relative_time(2 * kS);
+  m.validity = sms::format_relative_time(2 * kS);
   const auto unsent = e->submit(m);
   m.registered_delivery = 0;
   e->submit(m);  // asks for no receipt
   receipted(*e, 2);
-  EXPECT_EQ(e->state(unsent), sms::kRejected);
-  turn(s.loop, [&] { return s.node->core().held() == 0; });
-  rest(s.loop, 50 * kMs);
+  EXPECT_EQ(e->receipt_state(unsent), sms::kRejected);
+  run_until(s.loop, [&] { return s.node->core().held() == 0; });
+  run_for(s.loop, 50 * kMs);
   EXPECT_EQ(e->receipts.size(), 2u);
 }
 
@@ -172,18 +174,19 @@
   s.start();
   auto e = bound();
   auto m = Esme::message("push", "", body("first"));
-  m.schedule = sms::relative_time(1 * kS), m.validity = sms::relative_time(8 * kS);
-  const Time asked = s.loop.refresh();
+  m.schedule = sms::format_relative_time(1 * kS), m.validity = sms::format_relative_time(8 * kS);
+  const Time asked = s.loop.refresh_now();
   const auto kept = e->submit(m), gone = e->submit(m);
   answered(*e, 2);
-  const auto replaced =
-      e->ask(Command::replace_sm, smpp::Replace{e->ids[kept], m.source, "", "", 1, 0, body("second")});
-  const auto cancelled = e->ask(Command::cancel_sm, smpp::Cancel{"", e->ids[gone], m.source, m.destination});
-  const auto query = e->ask(Command::query_sm, smpp::Query{e->ids[kept], m.source});
+  const auto replaced = e->send_request(
+      Command::replace_sm, smpp::Replace{e->message_ids[kept], m.source, "", "", 1, 0, body("second")});
+  const auto cancelled =
+      e->send_request(Command::cancel_sm, smpp::Cancel{"", e->message_ids[gone], m.source, m.destination});
+  const auto query = e->send_request(Command::query_sm, smpp::Query{e->message_ids[kept], m.source});
   auto stranger = bound("cellar");
-  const auto theirs = stranger->ask(Command::query_sm, smpp::Query{e->ids[kept], m.source}),
-             theft =
-                 stranger->ask(Command::cancel_sm, smpp::Cancel{"", e->ids[kept], m.source, m.destination});
+  const auto theirs = stranger->send_request(Command::query_sm, smpp::Query{e->message_ids[kept], m.source}),
+             theft = stranger->send_request(Command::cancel_sm,
+                                            smpp::Cancel{"", e->message_ids[kept], m.source, m.destination});
   answered(*e, 5), answered(*stranger, 2);
   EXPECT_EQ(e->status(replaced), st::ok);
   EXPECT_EQ(e->status(cancelled), st::ok);
@@ -191,12 +194,13 @@
   EXPECT_EQ(stranger->status(theirs), st::invalid_message_id);
   EXPECT_EQ(stranger->status(theft), st::cancel_failed);
   receipted(*e, 1);
-  EXPECT_GE(s.loop.refresh() - asked, 1 * kS);
+  EXPECT_GE(s.loop.refresh_now() - asked, 1 * kS);
   EXPECT_EQ(s.effects_of("second"), 1u);
   EXPECT_EQ(s.effects_of("first"), 0u);
-  const auto after = e->ask(Command::query_sm, smpp::Query{e->ids[kept], m.source}),
-             too_late = e->ask(Command::cancel_sm, smpp::Cancel{"", e->ids[kept], m.source, m.destination}),
-             deleted = e->ask(Command::query_sm, smpp::Query{e->ids[gone], m.source});
+  const auto after = e->send_request(Command::query_sm, smpp::Query{e->message_ids[kept], m.source}),
+             too_late = e->send_request(Command::cancel_sm,
+                                        smpp::Cancel{"", e->message_ids[kept], m.source, m.destination}),
+             deleted = e->send_request(Command::query_sm, smpp::Query{e->message_ids[gone], m.source});
   answered(*e, 8);
   EXPECT_EQ(std::get<smpp::QueryResp>(e->responses[after].body).message_state, sms::kDelivered);
   EXPECT_EQ(e->status(too_late), st::cancel_failed);
@@ -204,7 +208,7 @@
 }
 
 TEST_F(SmppFront, SeveralRecipientsAndDataSm) {
-  s.add("push", 1), s.add_centre("centre", 1);
+  s.add("push", 1), s.add_message_centre("centre", 1);
   s.start();
   auto e = bound();
   smpp::Multi multi;
@@ -212,34 +216,34 @@
   multi.recipients.resize(3);
   multi.recipients[0].address = {1, 1, "255799"}, multi.recipients[1].address = {1, 1, "99"};
   multi.recipients[2].list = "everybody";
-  const auto n = e->ask(Command::submit_multi, multi);
+  const auto n = e->send_request(Command::submit_multi, multi);
   smpp::Data d;
   d.destination = {5, 0, "push"}, d.registered_delivery = 1;
-  d.tlvs = {{smpp::tag::message_payload, body("data")}, smpp::tlv(0x0017, 5, 4)};
-  const auto data = e->ask(Command::data_sm, d);
+  d.tlvs = {{smpp::tag::message_payload, body("data")}, smpp::make_tlv(0x0017, 5, 4)};
+  const auto data = e->send_request(Command::data_sm, d);
   answered(*e, 2), receipted(*e, 2);
   const auto& resp = std::get<smpp::MultiResp>(e->responses[n].body);
   ASSERT_EQ(resp.failed.size(), 2u);
   EXPECT_EQ(resp.failed[0].error, st::invalid_destination);
   EXPECT_EQ(resp.failed[1].error, st::invalid_list_name);
   EXPECT_EQ(e->receipts.count(resp.message_id), 1u);
-  EXPECT_EQ(e->state(data), sms::kDelivered);
+  EXPECT_EQ(e->receipt_state(data), sms::kDelivered);
 }
 
 TEST_F(SmppFront, SeveralRecipientsScheduledAreAllAnswered) {
-  s.add_centre("centre", 1);
+  s.add_message_centre("centre", 1);
   s.start();
   auto e = bound();
   smpp::Multi multi;
   multi.message = Esme::message("centre", "", body("multi"));
-  multi.message.schedule = sms::relative_time(1 * kS);
+  multi.message.schedule = sms::format_relative_time(1 * kS);
   multi.recipients.resize(3);
   for (int i = 0; i < 3; i++)
     multi.recipients[static_cast<std::size_t>(i)].address = {1, 1, "25579" + std::to_string(i / 2)};
-  const auto n = e->ask(Command::submit_multi, multi);
+  const auto n = e->send_request(Command::submit_multi, multi);
   answered(*e, 1);
   const auto& id = std::get<smpp::MultiResp>(e->responses[n].body).message_id;
-  turn(s.loop, [&] { return e->receipts[id].size() == 3; });
+  run_until(s.loop, [&] { return e->receipts[id].size() == 3; });
   EXPECT_EQ(s.effects_of("multi"), 3u);
 }
 
@@ -248,11 +252,11 @@
   s.add("push", 1);
   s.start();
   auto e = bound();
-  e->answers = false;
+  e->answer_receipts = false;
   e->submit(Esme::message("push", "", body("m")));
-  turn(s.loop, [&] { return e->deliveries.size() == 1; });
-  e->answers = true;
-  turn(
+  run_until(s.loop, [&] { return e->deliveries.size() == 1; });
+  e->answer_receipts = true;
+  run_until(
       s.loop, [&] { return e->deliveries.size() == 2; }, 10 * kS);
   EXPECT_EQ(e->deliveries[0], e->deliveries[1]);
 }
@@ -267,7 +271,7 @@
     for (int i = 0; i < 20; i++)
       flood.push_back(
           std::make_unique<Esme>(s.loop, s.node->smpp_address(), "bank", "guess" + std::to_string(i)));
-    turn(s.loop, [&] {
+    run_until(s.loop, [&] {
       return std::all_of(flood.begin(), flood.end(), [](const auto& e) { return e->refused != 0; });
     });
     for (const auto& e : flood)
@@ -279,12 +283,12 @@
   auto second = bound();
   const auto n = second->submit(Esme::message("push", "", body("m")));
   // Either bind of the client may get the receipt.
-  turn(s.loop, [&] { return first->receipts.size() + second->receipts.size() == 1; });
+  run_until(s.loop, [&] { return first->receipts.size() + second->receipts.size() == 1; });
   EXPECT_EQ(second->status(n), st::ok);
   // The limit of binds per client holds.
   std::vector<std::unique_ptr<Esme>> more;
   for (int i = 0; i < 3; i++) more.push_back(std::make_unique<Esme>(s.loop, s.node->smpp_address()));
-  turn(s.loop, [&] {
+  run_until(s.loop, [&] {
     return std::all_of(more.begin(), more.end(),
                        [](const auto& e) { return e->session.bound() || e->refused != 0; });
   });
@@ -300,14 +304,14 @@
   s.start();
   auto e = bound();
   auto later = Esme::message("push", "PAY", body("later", "pay"));
-  later.schedule = sms::relative_time(60 * kS), later.validity.clear();
+  later.schedule = sms::format_relative_time(60 * kS), later.validity.clear();
   const auto a = e->submit(Esme::message("push", "PAY", body("now", "pay"))), b = e->submit(later);
   answered(*e, 2);
-  s.node->stop_taking();
+  s.node->stop_accepting();
   const auto c = e->submit(Esme::message("push", "", body("too late")));
-  turn(s.loop, [&] { return s.node->drained() && e->unbound; });
-  EXPECT_EQ(e->state(a), sms::kDelivered);
-  EXPECT_EQ(e->state(b), sms::kRejected);
+  run_until(s.loop, [&] { return s.node->drained() && e->unbound; });
+  EXPECT_EQ(e->receipt_state(a), sms::kDelivered);
+  EXPECT_EQ(e->receipt_state(b), sms::kRejected);
   EXPECT_EQ(e->status(c), st::queue_full);
 }
 
@@ -315,17 +319,17 @@
 
 TEST(Submissions, PartsAndSchedulesAreBoundedByClientBytesAndTime) {
   sms::Submissions book(
-      {.scheduled_max = 20, .parts_max = 20, .states_max = 3, .bytes_max = 100, .parts_within = 5 * kS});
+      {.scheduled_max = 20, .parts_max = 20, .states_max = 3, .bytes_max = 100, .parts_timeout = 5 * kS});
   const auto of = [](const std::string& client, const std::string& id, Time ends) {
     sms::Submission s;
-    s.client = client, s.id = id, s.ends = ends, s.starts = ends, s.registered = 0;
+    s.client = client, s.id = id, s.expires_at = ends, s.not_before = ends, s.registered_delivery = 0;
     return s;
   };
   using Part = sms::Submissions::Part;
   for (int i = 0; i < 30; i++) {
     const auto name = std::to_string(i);
     const auto added = book.add_part(0, name, {1, 1, 2}, of("loud", name, 999 * kS), "x");
-    EXPECT_EQ(added.part, i < 20 ? Part::first : Part::no_room);
+    EXPECT_EQ(added.part, i < 20 ? Part::first : Part::no_capacity);
   }
   auto later = of("loud", "s", kS);
   EXPECT_FALSE(book.schedule(later)) << "one client may use half of the capacity";
@@ -333,21 +337,21 @@
   EXPECT_TRUE(book.schedule(later));
   EXPECT_FALSE(book.replace("quiet", "q", {std::string(90, 'x'), ""}, {}, {})) << "exceeds bytes_max";
   EXPECT_TRUE(book.replace("quiet", "q", {std::string(70, 'x'), ""}, 3 * kS, {}));
-  EXPECT_EQ(book.add_part(0, "7", {1, 2, 2}, of("loud", "other", 1), "y").part, Part::whole);
-  EXPECT_EQ(book.add_part(0, "8", {1, 1, 2}, of("loud", "other", 1), "y").part, Part::again);
-  EXPECT_EQ(book.add_part(0, "8", {1, 2, 3}, of("loud", "other", 1), "y").part, Part::no_room)
+  EXPECT_EQ(book.add_part(0, "7", {1, 2, 2}, of("loud", "other", 1), "y").part, Part::completed);
+  EXPECT_EQ(book.add_part(0, "8", {1, 1, 2}, of("loud", "other", 1), "y").part, Part::duplicate);
+  EXPECT_EQ(book.add_part(0, "8", {1, 2, 3}, of("loud", "other", 1), "y").part, Part::no_capacity)
       << "part with another total";
   std::vector<sms::Submission> start, never;
   EXPECT_EQ(book.next_due(), 3 * kS);
-  book.due(5 * kS, start, never);
+  book.take_due(5 * kS, start, never);
   EXPECT_EQ(start.size(), 1u);
   EXPECT_EQ(never.size(), 19u) << "dropped after parts_within, although valid for longer";
   EXPECT_EQ(book.bytes(), 0u);
   EXPECT_EQ(book.held(), 0u);
   // Only the latest states_max final states are kept, and only their client can query them; for several
   // recipients the worst state counts.
-  for (int i = 0; i < 5; i++) book.note_end("c", std::to_string(i), sms::kDelivered, 1);
-  book.note_end("c", "4", sms::kUnknown, 2);
+  for (int i = 0; i < 5; i++) book.record_final_state("c", std::to_string(i), sms::kDelivered, 1);
+  book.record_final_state("c", "4", sms::kUnknown, 2);
   EXPECT_FALSE(book.state("c", "1"));
   EXPECT_FALSE(book.state("d", "4"));
   EXPECT_EQ(book.state("c", "4")->state, sms::kUnknown);
@@ -355,54 +359,55 @@
 
 TEST(Passwords, HashesMatchTheirPasswordOnly) {
   const auto hash = sms::hash_password("secret", 1000);
-  EXPECT_TRUE(sms::matches("secret", hash));
-  EXPECT_FALSE(sms::matches("secreT", hash));
+  EXPECT_TRUE(sms::matches_hash("secret", hash));
+  EXPECT_FALSE(sms::matches_hash("secreT", hash));
   EXPECT_NE(hash, sms::hash_password("secret", 1000)) << "each hash has its own salt";
   for (const char* bad : {"", "secret", "pbkdf2-sha256$0$00$00", "pbkdf2-sha256$x$y$z", "md5$1$00$00"})
-    EXPECT_THROW(sms::matches("secret", bad), std::invalid_argument) << bad;
+    EXPECT_THROW(sms::matches_hash("secret", bad), std::invalid_argument) << bad;
 }
 
 TEST(BindGuard, WaitsDoubleAndMemoryIsBounded) {
-  sms::BindGuard g({.tries = 3, .rest = 1 * kS, .rest_max = 8 * kS, .remembered = 100});
+  sms::BindRateLimiter g(
+      {.max_failures = 3, .initial_delay = 1 * kS, .max_delay = 8 * kS, .max_entries = 100});
   Time now = 0, rests = 0;
   for (int round = 0; round < 5; round++) {
     for (int i = 0; i < 3; i++) {
-      ASSERT_TRUE(g.may_try(now, "bank", "10.0.0.1"));
-      g.wrong(now, "bank", "10.0.0.1");
+      ASSERT_TRUE(g.may_attempt(now, "bank", "10.0.0.1"));
+      g.record_failure(now, "bank", "10.0.0.1");
     }
-    ASSERT_FALSE(g.may_try(now, "bank", "10.0.0.1"));
-    EXPECT_TRUE(g.may_try(now, "bank", "10.0.0.2"))
+    ASSERT_FALSE(g.may_attempt(now, "bank", "10.0.0.1"));
+    EXPECT_TRUE(g.may_attempt(now, "bank", "10.0.0.2"))
         << "the same system_id from another address is not blocked";
     const Time from = now;
-    while (!g.may_try(now, "bank", "10.0.0.1")) now += kS / 10;
+    while (!g.may_attempt(now, "bank", "10.0.0.1")) now += kS / 10;
     EXPECT_GE(now - from, std::min<Time>(8 * kS, kS << rests++));
   }
-  for (int i = 0; i < 1000; i++) g.wrong(now, "name-" + std::to_string(i), "10.0.0.3");
-  EXPECT_LE(g.remembered(), 100u);
-  EXPECT_FALSE(g.may_try(now, "fresh-name", "10.0.0.3"));
+  for (int i = 0; i < 1000; i++) g.record_failure(now, "name-" + std::to_string(i), "10.0.0.3");
+  EXPECT_LE(g.entry_count(), 100u);
+  EXPECT_FALSE(g.may_attempt(now, "fresh-name", "10.0.0.3"));
 }
 
 TEST(ReceiptBook, KeepsOrderBoundsAndTime) {
-  sms::ReceiptBook book({.most = 10, .keep = 5 * kS, .again_after = kS});
+  sms::ReceiptQueue book({.max_waiting = 10, .retention = 5 * kS, .retry_delay = kS});
   const auto receipt = [](int i) {
     smpp::Message m;
     m.text = std::to_string(i);
     return m;
   };
-  book.owe(0, "quiet", receipt(0));
-  for (int i = 0; i < 30; i++) book.owe(0, "loud", receipt(i));
+  book.add(0, "quiet", receipt(0));
+  for (int i = 0; i < 30; i++) book.add(0, "loud", receipt(i));
   EXPECT_EQ(book.waiting(), 10u);
   EXPECT_EQ(book.waiting("quiet"), 1u) << "the oldest receipt of the client with the most is dropped";
   EXPECT_EQ(book.counts().dropped, 21u);
   const auto a = book.next(0, "loud"), b = book.next(0, "loud");
   EXPECT_EQ(a->second.text, "21");
-  book.lost(b->first), book.lost(a->first);
+  book.requeue(b->first), book.requeue(a->first);
   EXPECT_EQ(book.next(0, "loud")->second.text, "21");
   const auto c = book.next(0, "loud");
-  book.not_now(0, c->first);
+  book.postpone(0, c->first);
   EXPECT_FALSE(book.next(kS / 2, "loud"));
-  EXPECT_EQ(book.next_again(kS / 2), kS);
-  EXPECT_GT(book.next_again(kS), 5 * kS) << "only postponed receipts count";
+  EXPECT_EQ(book.next_retry(kS / 2), kS);
+  EXPECT_GT(book.next_retry(kS), 5 * kS) << "only postponed receipts count";
 
   EXPECT_EQ(book.next(kS, "loud")->second.text, "22");
   book.tick(5 * kS);
@@ -422,16 +427,16 @@
   for (const char* bad : {"", "26010100010000+", "261301000100000+", "260101240100000+", "260101000100049+",
                           "26010100010000x+", "260101000100000Z"})
     EXPECT_FALSE(sms::time_until(bad, wall)) << bad;
-  EXPECT_EQ(sms::relative_time(90 * kS + 1), "000000000131000R");
+  EXPECT_EQ(sms::format_relative_time(90 * kS + 1), "000000000131000R");
   std::mt19937 random(1);
   for (int i = 0; i < 1000; i++) {
     const Time span = static_cast<Time>(random() % 2'000'000 + 1) * kS;
-    EXPECT_EQ(sms::time_until(sms::relative_time(span), wall), span);
+    EXPECT_EQ(sms::time_until(sms::format_relative_time(span), wall), span);
   }
 }
 
 TEST(SmppStatuses, OnlyWhatSpeaksOfThePduProvesThatNothingRan) {
-  config::SmppBack kind;
+  config::SmppEndpointSettings kind;
   EXPECT_EQ(sms::proof_of(st::ok, kind), sms::Proof::ran);
   EXPECT_EQ(sms::proof_of(st::throttled, kind), sms::Proof::refused);
   EXPECT_EQ(sms::proof_of(st::queue_full, kind), sms::Proof::refused);
@@ -439,19 +444,19 @@
   for (const smpp::Status s :
        {st::system_error, st::submit_failed, st::receiver_temporary, st::receiver_permanent,
         st::delivery_failure, st::unknown_error, smpp::Status{0x400}, smpp::Status{0x1234}})
-    EXPECT_EQ(sms::proof_of(s, kind), sms::Proof::doubt) << s;
+    EXPECT_EQ(sms::proof_of(s, kind), sms::Proof::in_doubt) << s;
   kind.unseen = {0x400};
   EXPECT_EQ(sms::proof_of(0x400, kind), sms::Proof::refused);
   // Parts: one accepted and one refused leave doubt; all refused prove that nothing ran; all accepted but
   // some unsent leave doubt.
-  const relay::Ending ok{Outcome::served, 0, {}, "", {}}, full{Outcome::full, 0, {}, "", {}},
+  const relay::CallResult ok{Outcome::served, 0, {}, "", {}}, full{Outcome::full, 0, {}, "", {}},
       lost{Outcome::reset, 0, {}, "", {}};
-  EXPECT_EQ(sms::ending_of_parts({ok, ok}, true).outcome, Outcome::served);
-  EXPECT_EQ(sms::ending_of_parts({ok, ok}, false).outcome, Outcome::error);
-  EXPECT_EQ(sms::ending_of_parts({ok, full}, true).outcome, Outcome::error);
-  EXPECT_EQ(sms::ending_of_parts({full, full}, true).outcome, Outcome::full);
-  EXPECT_EQ(sms::ending_of_parts({full}, false).outcome, Outcome::full);
-  EXPECT_EQ(sms::ending_of_parts({full, lost}, true).outcome, Outcome::reset);
+  EXPECT_EQ(sms::result_of_parts({ok, ok}, true).outcome, Outcome::served);
+  EXPECT_EQ(sms::result_of_parts({ok, ok}, false).outcome, Outcome::error);
+  EXPECT_EQ(sms::result_of_parts({ok, full}, true).outcome, Outcome::error);
+  EXPECT_EQ(sms::result_of_parts({full, full}, true).outcome, Outcome::full);
+  EXPECT_EQ(sms::result_of_parts({full}, false).outcome, Outcome::full);
+  EXPECT_EQ(sms::result_of_parts({full, lost}, true).outcome, Outcome::reset);
 }
 
 // With a journal, the next run delivers the receipts of messages that this run accepted, each once; a receipt
@@ -464,29 +469,29 @@
   auto e = bound();
   const auto done = e->submit(Esme::message("push", "", body("done")));
   answered(*e, 1), receipted(*e, 1);
-  EXPECT_EQ(e->state(done), sms::kDelivered);
-  rest(s.loop, 20 * kMs);
+  EXPECT_EQ(e->receipt_state(done), sms::kDelivered);
+  run_for(s.loop, 20 * kMs);
   // One message whose receipt is not answered, one whose attempt is in flight, and one that asks for no
   // receipt.
-  e->answers = false;
+  e->answer_receipts = false;
   const auto owed = e->submit(Esme::message("push", "", body("owed")));
-  turn(s.loop, [&] { return e->deliveries.size() == 2; });
+  run_until(s.loop, [&] { return e->deliveries.size() == 2; });
   auto quiet = Esme::message("push", "", body("quiet"));
   quiet.registered_delivery = 0;
   e->submit(quiet);
   answered(*e, 3);
-  turn(s.loop, [&] { return s.effects_of("quiet") == 1; });
+  run_until(s.loop, [&] { return s.effects_of("quiet") == 1; });
   d.endpoints()[0]->begin({.fault = standin::Fault::answer_lost, .share = 1});
   const auto out = e->submit(Esme::message("push", "PAY", body("out", "pay")));
   answered(*e, 4);
-  turn(s.loop, [&] { return s.effects_of("out") == 1; });
+  run_until(s.loop, [&] { return s.effects_of("out") == 1; });
   d.endpoints()[0]->end(standin::Fault::answer_lost);
   s.node.reset();
-  const auto ids = e->ids;
+  const auto ids = e->message_ids;
   s.start();
   auto again = bound();
   receipted(*again, 2);
-  rest(s.loop, 50 * kMs);
+  run_for(s.loop, 50 * kMs);
   EXPECT_EQ(again->receipts.size(), 2u);
   ASSERT_EQ(again->receipts[ids.at(owed)].size(), 1u);
   EXPECT_EQ(again->receipts[ids.at(owed)][0].state, sms::kDelivered);
@@ -497,7 +502,7 @@
   s.node.reset();
   s.start();
   auto third = bound();
-  rest(s.loop, 50 * kMs);
+  run_for(s.loop, 50 * kMs);
   EXPECT_TRUE(third->receipts.empty());
 }
 
--- a/tests/smpp_mixed_test.cpp
+++ b/tests/smpp_mixed_test.cpp
@@ -24,26 +24,26 @@
   front.listen = "127.0.0.1:0";
   front.clients = {{"load", sms::hash_password("secret", 1000), -1, 4}};
   for (const auto& c : load.classes) front.classes.push_back({rig::service_type_of(c.name), {}, c.name});
-  rig::Facts facts;
+  rig::CheckerInput facts;
   for (int i = 1; i <= 12; i++) {
     const std::string name = "d" + std::to_string(i);
     load.destinations.push_back(name);
     if (i % 2 == 0)
-      s.add_centre(name, 2);
+      s.add_message_centre(name, 2);
     else
       s.add(name, 2);
-    for (const auto& e : s.destinations.back()->endpoints()) facts.place_of[e->id()] = name;
+    for (const auto& e : s.destinations.back()->endpoints()) facts.domain_of[e->id()] = name;
   }
   s.start();
-  std::vector<record::Record> records;
+  std::vector<record::CaptureRecord> records;
   rig::LoadClient* book = nullptr;
   rig::LoadClient client(
       s.loop, load, {{"relay-0", s.node->address()}, {"relay-0", s.node->smpp_address(), "load", "secret"}},
       [&](const rig::LoadClient::Message& m, const std::vector<bool>&) {
-        return std::pair(static_cast<std::size_t>(book->book().by_smpp(m)),
+        return std::pair(static_cast<std::size_t>(book->model().uses_smpp(m)),
                          "/push/" + load.destinations[m.destination] + "/" + load.classes[m.cls].name);
       },
-      [&](record::Record&& r) { records.push_back(std::move(r)); });
+      [&](record::CaptureRecord&& r) { records.push_back(std::move(r)); });
   book = &client;
   client.start();
   // Endpoints of both kinds, one after the other, accept a message and drop the connection without a
@@ -51,7 +51,7 @@
   std::size_t dropped = 0, seen = 0;
   bool dropping = false;
   const auto endpoint = [&] { return "d" + std::to_string(1 + dropped % 12) + "-1"; };
-  turn(
+  run_until(
       s.loop,
       [&] {
         if (!dropping && dropped < 8 && client.answered() >= 2'000 + 600 * dropped) {
@@ -68,10 +68,11 @@
       },
       200 * kS);
   std::uint64_t finals = 0, bad = 0;
-  for (const auto& t : client.tallies()) finals += t.served + t.refused + t.failed, bad += t.bad + t.lost;
+  for (const auto& t : client.tallies())
+    finals += t.served + t.refused + t.failed, bad += t.unexpected + t.lost;
   EXPECT_EQ(finals, 10'000u);
   EXPECT_EQ(bad, 0u);
-  EXPECT_EQ(client.doubled(), 0u);
+  EXPECT_EQ(client.duplicate_answers(), 0u);
   EXPECT_EQ(dropped, 8u);
   std::size_t in_smpp = 0, in_http = 0, out_smpp = 0, out_http = 0;
   for (const auto& r : records)
@@ -82,7 +83,7 @@
   EXPECT_GT(in_http, 4'000u);
   EXPECT_GT(out_smpp, 3'000u);
   EXPECT_GT(out_http, 3'000u);
-  turn(s.loop, [&] { return s.node->core().held() == 0 && s.node->core().slots_used() == 0; });
+  run_until(s.loop, [&] { return s.node->core().held() == 0 && s.node->core().slots_used() == 0; });
   s.node.reset();
   for (const auto& c : load.classes)
     facts.classes[c.name] = {.effect = c.effect, .deadline = c.deadline, .ordered = c.ordered};
@@ -90,7 +91,7 @@
   facts.settle_after_doubt = s.settings.dispatcher.settle_after_doubt;
   records.insert(records.end(), s.frames.begin(), s.frames.end());
   const auto verdict = rig::check_rules(facts, std::move(records), s.effects);
-  EXPECT_TRUE(verdict.kept()) << rig::table_of(verdict);
+  EXPECT_TRUE(verdict.passed()) << rig::format_check_result(verdict);
   EXPECT_GT(verdict.rules[0].checked, 9'900u);
   EXPECT_GT(verdict.rules[1].checked, 3'000u);
   EXPECT_GT(verdict.rules[4].checked, 100u);
--- a/tests/smpp_session_test.cpp
+++ b/tests/smpp_session_test.cpp
@@ -86,7 +86,7 @@
   smsc.receive(0, bind, events);
   smsc.receive(0, bind, events);  // a second bind before the answer is rejected and has no effect
   ASSERT_EQ(events.size(), 2u);
-  EXPECT_EQ(events[1].type, Type::mistake);
+  EXPECT_EQ(events[1].type, Type::invalid_pdu);
   smsc.reject(status::wrong_password);
   events.clear();
   esme.receive(0, smsc.take_output(), events);
@@ -97,7 +97,7 @@
 
 TEST(SmppSession, ResponsesOutOfOrderTwiceAndLate) {
   SessionSettings s;
-  s.response = 2 * kS, s.window = 4;
+  s.response_timeout = 2 * kS, s.window = 4;
   Pair p(s);
   std::vector<std::uint32_t> numbers;
   for (int i = 0; i < 4; i++) numbers.push_back(p.esme.request(p.now, Command::submit_sm, text("m")));
@@ -112,7 +112,7 @@
   ASSERT_EQ(p.at_esme.size(), 2u);
   EXPECT_EQ(p.at_esme[0].type, Type::response);
   EXPECT_EQ(p.at_esme[0].pdu.sequence, numbers[3]);
-  EXPECT_EQ(p.at_esme[1].type, Type::stray);
+  EXPECT_EQ(p.at_esme[1].type, Type::unmatched);
   // An abandoned request stays in the window, and its response is reported as late.
   p.esme.abandon(numbers[0]);
   p.smsc.respond(requests[0].pdu, status::ok, MessageResp{"id-0", {}});
@@ -131,7 +131,7 @@
   std::string odd;
   encode({Command::query_sm_resp, status::ok, n, QueryResp{"x", "", 2, 0}}, odd);
   p.carry(odd, p.esme, p.at_esme);
-  EXPECT_EQ(p.at_esme.back().type, Type::stray);
+  EXPECT_EQ(p.at_esme.back().type, Type::unmatched);
   EXPECT_EQ(p.esme.outstanding(), 1u);
 }
 
@@ -141,9 +141,9 @@
   Pair p(s);
   p.esme.set_next_sequence(1);
   EXPECT_EQ(p.esme.request(p.now, Command::submit_sm, text("long out")), 1u);
-  p.esme.set_next_sequence(kMostSequence - 1);
-  EXPECT_EQ(p.esme.request(p.now, Command::submit_sm, text("a")), kMostSequence - 1);
-  EXPECT_EQ(p.esme.request(p.now, Command::submit_sm, text("b")), kMostSequence);
+  p.esme.set_next_sequence(kMaxSequence - 1);
+  EXPECT_EQ(p.esme.request(p.now, Command::submit_sm, text("a")), kMaxSequence - 1);
+  EXPECT_EQ(p.esme.request(p.now, Command::submit_sm, text("b")), kMaxSequence);
   EXPECT_EQ(p.esme.request(p.now, Command::submit_sm, text("c")), 2u);
   p.pass();
   for (const auto& e : std::vector<Event>(p.at_smsc)) p.smsc.respond(e.pdu, status::ok, MessageResp{"x", {}});
@@ -158,12 +158,12 @@
   ASSERT_EQ(p.count(p.at_smsc, Type::failed), 1u);
   EXPECT_EQ(p.smsc.state(), State::closed);
   p.pass();
-  EXPECT_EQ(p.count(p.at_esme, Type::stray), 1u);  // its generic_nack
+  EXPECT_EQ(p.count(p.at_esme, Type::unmatched), 1u);  // its generic_nack
 }
 
 TEST(SmppSession, MistakesAreAnsweredAndTooManyEndIt) {
   SessionSettings s;
-  s.mistakes_max = 3;
+  s.max_invalid_pdus = 3;
   Pair p(s);
   const auto odd = [&](std::uint32_t command) {
     std::string pdu("\0\0\0\x10", 4);
@@ -183,18 +183,18 @@
   EXPECT_EQ(got.command, Command::submit_sm_resp);
   EXPECT_NE(got.status, status::ok);
   EXPECT_TRUE(p.smsc.bound());
-  EXPECT_EQ(p.smsc.owed(), 0u);
+  EXPECT_EQ(p.smsc.unanswered(), 0u);
   p.smsc.receive(p.now, odd(0x55), p.at_smsc);
   EXPECT_EQ(p.smsc.state(), State::closed);
 }
 
 TEST(SmppSession, AnEnquiryUnansweredWhileSubmitsFlowIsNoLoss) {
   SessionSettings s;
-  s.enquire_after = 1 * kS, s.response = 2 * kS;
+  s.enquire_after = 1 * kS, s.response_timeout = 2 * kS;
   Pair p(s);
   p.wait(10 * kS);
   EXPECT_TRUE(p.esme.bound()) << "no messages, but enquire_link is answered";
-  EXPECT_GE(p.count(p.at_esme, Type::alive), 3u);
+  EXPECT_GE(p.count(p.at_esme, Type::enquiry_answered), 3u);
   // The peer answers submits, but not enquire_link.
   const auto answer_submits_only = [&] {
     const auto n = p.esme.request(p.now, Command::submit_sm, text("m"));
@@ -235,7 +235,7 @@
 
 TEST(SmppSession, TimersEndWhatNeverBindsOrNeverSpeaks) {
   SessionSettings s;
-  s.session_init = 3 * kS, s.inactivity = 5 * kS;
+  s.session_init = 3 * kS, s.inactivity_timeout = 5 * kS;
   Session smsc(Role::smsc, s, 0);
   std::vector<Event> events;
   smsc.tick(smsc.next_due(), events);
@@ -255,7 +255,7 @@
   for (int i = 0; i < 100; i++) p.esme.request(p.now, Command::submit_sm, text("flood"));
   p.pass();
   EXPECT_EQ(p.count(p.at_smsc, Type::request), 10u);
-  EXPECT_EQ(p.smsc.owed(), 10u);
+  EXPECT_EQ(p.smsc.unanswered(), 10u);
   ASSERT_EQ(p.count(p.at_esme, Type::response), 90u);
   EXPECT_EQ(p.at_esme[0].pdu.status, status::throttled);
 }
--- a/tests/smpp_test.cpp
+++ b/tests/smpp_test.cpp
@@ -10,7 +10,7 @@
 
 namespace cedarplank::smpp {
 
-std::ostream& operator<<(std::ostream& out, const Wrong& w) { return out << w.status << ' ' << w.what; }
+std::ostream& operator<<(std::ostream& out, const DecodeError& w) { return out << w.status << ' ' << w.what; }
 
 namespace {
 
@@ -40,7 +40,7 @@
 std::vector<Vector> vectors() {
   Message with_tlvs = hello();
   with_tlvs.schedule.clear();
-  with_tlvs.tlvs = {tlv(tag::user_message_reference, 0x0102, 2),
+  with_tlvs.tlvs = {make_tlv(tag::user_message_reference, 0x0102, 2),
                     {tag::receipted_message_id, bytes("6d3100")}};
   Multi multi;
   multi.message = with_tlvs, multi.message.destination = {}, multi.message.tlvs.clear();
@@ -58,7 +58,7 @@
   add("00000019 00000002 00000000 00000003  6100 6200 00 34 00 00 00", Command::bind_transmitter, 0, 3,
       Bind{"a", "b", "", 0x34, {}});
   add("00000018 80000009 00000000 00000001  736300 0210 0001 34", Command::bind_transceiver_resp, 0, 1,
-      BindResp{"sc", {tlv(tag::sc_interface_version, 0x34, 1)}});
+      BindResp{"sc", {make_tlv(tag::sc_interface_version, 0x34, 1)}});
   add("00000012 80000001 00000000 00000002  7300", Command::bind_receiver_resp, 0, 2, BindResp{"s", {}});
   add("00000010 80000002 0000000d 00000003", Command::bind_transmitter_resp, status::bind_failed, 3,
       BindResp{});
@@ -87,9 +87,9 @@
   add("00000022 00000103 00000000 00000009  00 01 01 3100 01 01 3200 00 01 00 0424 0002 6869",
       Command::data_sm, 0, 9, Data{"", {1, 1, "1"}, {1, 1, "2"}, 0, 1, 0, {{tag::message_payload, "hi"}}});
   add("00000018 80000103 00000000 00000009  6d3100 0425 0001 02", Command::data_sm_resp, 0, 9,
-      MessageResp{"m1", {tlv(tag::delivery_failure_reason, 2, 1)}});
+      MessageResp{"m1", {make_tlv(tag::delivery_failure_reason, 2, 1)}});
   add("00000018 80000103 000000fe 00000009  6d3100 0425 0001 02", Command::data_sm_resp,
-      status::delivery_failure, 9, MessageResp{"m1", {tlv(tag::delivery_failure_reason, 2, 1)}});
+      status::delivery_failure, 9, MessageResp{"m1", {make_tlv(tag::delivery_failure_reason, 2, 1)}});
   add("00000017 00000003 00000000 0000000a  6d3100 01 01 3100", Command::query_sm, 0, 10,
       Query{"m1", {1, 1, "1"}});
   add("00000016 80000003 00000000 0000000a  6d3100 00 02 00", Command::query_sm_resp, 0, 10,
@@ -101,7 +101,7 @@
       12, Replace{"m1", {1, 1, "1"}, "", "", 1, 0, "hi"});
   add("00000010 80000007 00000000 0000000c", Command::replace_sm_resp, 0, 12, Empty{});
   add("0000001d 00000102 00000000 0000000d  01 01 3100 02 02 3200 0422 0001 01", Command::alert_notification,
-      0, 13, Alert{{1, 1, "1"}, {2, 2, "2"}, {tlv(tag::ms_availability_status, 1, 1)}});
+      0, 13, Alert{{1, 1, "1"}, {2, 2, "2"}, {make_tlv(tag::ms_availability_status, 1, 1)}});
   return all;
 }
 
@@ -121,7 +121,7 @@
     encode(v.pdu, out);
     EXPECT_EQ(out, wire);
     const auto read = decode(wire);
-    ASSERT_TRUE(std::holds_alternative<Pdu>(read)) << std::get<Wrong>(read);
+    ASSERT_TRUE(std::holds_alternative<Pdu>(read)) << std::get<DecodeError>(read);
     same(std::get<Pdu>(read), v.pdu);
     seen.insert(v.pdu.command);
   }
@@ -137,9 +137,9 @@
     for (int i = 0; i < 4; i++)
       wire[static_cast<std::size_t>(i)] = static_cast<char>(wire.size() >> (24 - 8 * i));
     const auto got = decode(wire);
-    if (std::holds_alternative<Wrong>(got)) {
-      EXPECT_NE(std::get<Wrong>(got).status, status::ok);
-      EXPECT_FALSE(std::get<Wrong>(got).what.empty());
+    if (std::holds_alternative<DecodeError>(got)) {
+      EXPECT_NE(std::get<DecodeError>(got).status, status::ok);
+      EXPECT_FALSE(std::get<DecodeError>(got).what.empty());
       refused++;
       return;
     }
@@ -155,7 +155,7 @@
   };
   for (const auto& v : vectors()) {
     const std::string wire = bytes(v.hex);
-    for (std::size_t n = kHeader; n < wire.size(); n++) attempt(wire.substr(0, n));
+    for (std::size_t n = kHeaderSize; n < wire.size(); n++) attempt(wire.substr(0, n));
     for (int i = 0; i < 2'000; i++) {
       std::string changed = wire;
       for (std::size_t n = 0; n <= random() % 3; n++)
@@ -170,7 +170,7 @@
 TEST(SmppPdu, WhatIsWrongIsNamedWithTheStatusToAnswer) {
   const auto refusal = [](const std::string& hex) {
     const auto got = decode(bytes(hex));
-    return std::holds_alternative<Wrong>(got) ? std::get<Wrong>(got) : Wrong{};
+    return std::holds_alternative<DecodeError>(got) ? std::get<DecodeError>(got) : DecodeError{};
   };
   EXPECT_EQ(refusal("00000010 00000077 00000000 00000001").status, status::invalid_command);
   EXPECT_EQ(refusal("00000010 00000004 00000000").status, status::invalid_command_length);
@@ -212,7 +212,7 @@
       while (const auto pdu = framer.next()) EXPECT_EQ(*pdu, bytes(all[n++].hex));
     }
     EXPECT_EQ(n, all.size());
-    EXPECT_EQ(framer.held(), 0u);
+    EXPECT_EQ(framer.buffered(), 0u);
   }
   for (const char* hex : {"ffffffff", "0000000f", "00000000", "00100000"}) {
     Framer framer;
@@ -226,24 +226,24 @@
   std::string septets;
   for (int i = 0; i < 128; i++)
     if (i != 0x1b) septets += static_cast<char>(i);
-  const auto text = from_coding(septets, Coding::gsm7);
+  const auto text = decode_text(septets, Coding::gsm7);
   ASSERT_TRUE(text);
-  EXPECT_EQ(*to_coding(*text, Coding::gsm7), septets);
-  EXPECT_EQ(*to_coding("[€]", Coding::gsm7), bytes("1b3c 1b65 1b3e"));
-  EXPECT_EQ(*from_coding(bytes("1b65 1b41 1b1b"), Coding::gsm7), "€A ");
-  EXPECT_FALSE(to_coding("ł", Coding::gsm7));
-  EXPECT_EQ(*to_coding("é", Coding::latin1), "\xe9");
-  EXPECT_FALSE(to_coding("€", Coding::latin1));
-  EXPECT_EQ(*to_coding("a€😀", Coding::ucs2), bytes("0061 20ac d83d de00"));
-  EXPECT_EQ(*from_coding(bytes("0061 20ac d83d de00"), Coding::ucs2), "a€😀");
-  EXPECT_FALSE(from_coding(bytes("d83d"), Coding::ucs2));
-  EXPECT_FALSE(from_coding(bytes("00"), Coding::ucs2));
-  EXPECT_FALSE(from_coding("\x80", Coding::gsm7));
-  EXPECT_FALSE(to_coding("\xff", Coding::ucs2));
-  EXPECT_EQ(fewest_parts("plain"), Coding::gsm7);
-  EXPECT_EQ(fewest_parts("naïve"), Coding::latin1);
-  EXPECT_EQ(fewest_parts("złoty"), Coding::ucs2);
-  EXPECT_FALSE(fewest_parts("\xc3"));
+  EXPECT_EQ(*encode_text(*text, Coding::gsm7), septets);
+  EXPECT_EQ(*encode_text("[€]", Coding::gsm7), bytes("1b3c 1b65 1b3e"));
+  EXPECT_EQ(*decode_text(bytes("1b65 1b41 1b1b"), Coding::gsm7), "€A ");
+  EXPECT_FALSE(encode_text("ł", Coding::gsm7));
+  EXPECT_EQ(*encode_text("é", Coding::latin1), "\xe9");
+  EXPECT_FALSE(encode_text("€", Coding::latin1));
+  EXPECT_EQ(*encode_text("a€😀", Coding::ucs2), bytes("0061 20ac d83d de00"));
+  EXPECT_EQ(*decode_text(bytes("0061 20ac d83d de00"), Coding::ucs2), "a€😀");
+  EXPECT_FALSE(decode_text(bytes("d83d"), Coding::ucs2));
+  EXPECT_FALSE(decode_text(bytes("00"), Coding::ucs2));
+  EXPECT_FALSE(decode_text("\x80", Coding::gsm7));
+  EXPECT_FALSE(encode_text("\xff", Coding::ucs2));
+  EXPECT_EQ(shortest_coding("plain"), Coding::gsm7);
+  EXPECT_EQ(shortest_coding("naïve"), Coding::latin1);
+  EXPECT_EQ(shortest_coding("złoty"), Coding::ucs2);
+  EXPECT_FALSE(shortest_coding("\xc3"));
 }
 
 // Random texts in every alphabet, with every way of splitting; parts arrive in any order and some twice.
@@ -255,27 +255,27 @@
     std::string text;
     const std::size_t kinds = coding == Coding::gsm7 ? 6 : coding == Coding::latin1 ? 2 : 8;
     for (auto n = random() % 900; n > 0; n--) text += letters[random() % kinds];
-    const auto encoded = to_coding(text, coding);
+    const auto encoded = encode_text(text, coding);
     ASSERT_TRUE(encoded);
     const Split how = std::vector{Split::udh, Split::sar, Split::payload}[random() % 3];
-    auto parts = in_parts({}, *encoded, coding, how, static_cast<std::uint16_t>(random() % 256));
+    auto parts = split_message({}, *encoded, coding, how, static_cast<std::uint16_t>(random() % 256));
     std::shuffle(parts.begin(), parts.end(), random);
     if (parts.size() > 2) parts.insert(parts.begin(), parts[1]);
-    Assembly assembly;
+    MessageAssembler assembly;
     std::optional<std::string> whole;
     for (const auto& part : parts) {
       EXPECT_LE(part.text.size(), coding == Coding::gsm7 ? 160u : 140u);
       std::string wire;
       encode({Command::submit_sm, 0, 1, part}, wire);
-      const auto got = taken_apart(std::get<Message>(std::get<Pdu>(decode(wire)).body));
-      EXPECT_TRUE(from_coding(got.text, coding)) << "a character was split";
+      const auto got = parse_text(std::get<Message>(std::get<Pdu>(decode(wire)).body));
+      EXPECT_TRUE(decode_text(got.text, coding)) << "a character was split";
       if (!got.part)
         whole = got.text;
       else if (auto all = assembly.add("x", *got.part, got.text))
         whole = all;
     }
     ASSERT_TRUE(whole);
-    EXPECT_EQ(*from_coding(*whole, coding), text);
+    EXPECT_EQ(*decode_text(*whole, coding), text);
   }
 }
 
@@ -285,23 +285,23 @@
   for (const char* hex :
        {"", "05", "05 00 03 01 02", "05 00 07 01 02 01 41", "05 00 03 01 02 00 41", "05 00 03 01 02 03 41"}) {
     m.text = bytes(hex);
-    EXPECT_THROW(taken_apart(m), std::invalid_argument) << hex;
+    EXPECT_THROW(parse_text(m), std::invalid_argument) << hex;
   }
   m.text = bytes("06 08 04 01 02 03 02 41");
-  const auto got = taken_apart(m);
+  const auto got = parse_text(m);
   EXPECT_EQ(got.text, "A");
   EXPECT_EQ(got.part->reference, 0x0102);
   EXPECT_EQ(got.part->number, 2);
   EXPECT_EQ(got.part->total, 3);
-  Assembly heavy(10, 1'000);
+  MessageAssembler heavy(10, 1'000);
   for (int i = 0; i < 100; i++) {
     heavy.add("x", {static_cast<std::uint16_t>(i), 1, 2}, std::string(300, 'x'));
     EXPECT_LE(heavy.bytes(), 1'000u);
   }
-  EXPECT_EQ(heavy.unfinished(), 3u);
-  Assembly assembly(10);
+  EXPECT_EQ(heavy.incomplete_count(), 3u);
+  MessageAssembler assembly(10);
   for (int i = 0; i < 1'000; i++) assembly.add("x", {static_cast<std::uint16_t>(i), 1, 2}, "half");
-  EXPECT_EQ(assembly.unfinished(), 10u);
+  EXPECT_EQ(assembly.incomplete_count(), 10u);
   EXPECT_FALSE(assembly.add("y", {999, 2, 2}, "other"));  // another sender's
   EXPECT_EQ(*assembly.add("x", {999, 2, 2}, "+half"), "half+half");
 }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -21,13 +21,13 @@
 }
 LogSettings small() {
   LogSettings s;
-  s.segment = 1024, s.record_max = 400, s.spare_max = 2;
+  s.segment_size = 1024, s.record_size_max = 400, s.spares_max = 2;
   return s;
 }
 
 // What open() reads.
 struct Recovered {
-  Log::Opened opened;
+  Log::OpenResult opened;
   std::vector<std::pair<Sequence, std::string>> records;
 };
 Recovered read(Log& log) {
@@ -57,7 +57,7 @@
     for (int i = 0; i < commits; i++) {
       for (int k = 0; k < 3 + i % 3; k++) {
         const auto n = log.next();
-        if (log.append(content(n)) != Log::Appended::yes) return;
+        if (log.append(content(n)) != Log::AppendResult::appended) return;
         appended = std::max(appended, n);
       }
       if (log.commit()) return;
@@ -78,7 +78,7 @@
       files.short_writes = seed % 2 ? 0 : 29;
       Work run;
       bool crashed = false;
-      files.before = [&](const char*) {
+      files.before_call = [&](const char*) {
         if (files.calls == at) throw Crash();
         return std::error_code();
       };
@@ -96,7 +96,7 @@
       for (std::size_t again = 1;; again++) {
         FaultyFiles copy = files;
         copy.calls = 0;
-        copy.before = [&](const char*) {
+        copy.before_call = [&](const char*) {
           if (copy.calls == again) throw Crash();
           return std::error_code();
         };
@@ -105,12 +105,12 @@
           Log log(copy, small(), 7);
           const auto r = read(log);
           check(r, run.released, run.durable, run.appended);
-          torn += r.opened.torn > 0;
+          torn += r.opened.torn_bytes > 0;
         } catch (const Crash&) {
           twice = true;
         }
         if (twice) copy.crash();
-        copy.before = nullptr;
+        copy.before_call = nullptr;
         Log log(copy, small(), 7);
         const auto r = read(log);
         check(r, run.released, run.durable, run.appended);
@@ -137,7 +137,7 @@
     Work run;
     run.go(log, 10);
   }
-  files.settle();
+  files.make_durable();
   const auto count = [&](FaultyFiles& f) {
     Log log(f, small(), 7);
     return read(log);
@@ -152,7 +152,7 @@
     for (std::size_t at = 0; at < size; at += 3) {
       FaultyFiles one = files;
       one.bytes_of(name)[at] = static_cast<char>(one.bytes_of(name)[at] ^ (1 << at % 8));
-      one.settle();
+      one.make_durable();
       const auto r = count(one);
       for (std::size_t i = 0; i < r.records.size(); i++)
         ASSERT_EQ(r.records[i], sound.records[i]) << name << ' ' << at;
@@ -176,27 +176,27 @@
   read(log);
   Work run;
   int left = 5;
-  files.before = [&](const char* call) {
+  files.before_call = [&](const char* call) {
     if (std::string_view(call).substr(0, 4) == "sync") return std::error_code();
     return --left < 0 && left > -8 ? std::make_error_code(std::errc::no_space_on_device) : std::error_code();
   };
   // Commits are repeated until there is space again: no record is lost or written twice.
   for (int i = 0; i < 20; i++) {
     const auto n = log.next();
-    ASSERT_EQ(log.append(content(n)), Log::Appended::yes);
+    ASSERT_EQ(log.append(content(n)), Log::AppendResult::appended);
     run.appended = n;
     if (!log.commit()) run.durable = log.durable();
     EXPECT_FALSE(log.failed());
   }
   EXPECT_EQ(run.durable, 20u);
-  files.before = [](const char* call) {
+  files.before_call = [](const char* call) {
     return std::string_view(call) == "sync" ? std::make_error_code(std::errc::io_error) : std::error_code();
   };
-  ASSERT_EQ(log.append(content(21)), Log::Appended::yes);
+  ASSERT_EQ(log.append(content(21)), Log::AppendResult::appended);
   EXPECT_TRUE(log.commit());
-  files.before = nullptr;
+  files.before_call = nullptr;
   EXPECT_TRUE(log.failed());
-  EXPECT_EQ(log.append(content(22)), Log::Appended::failed);
+  EXPECT_EQ(log.append(content(22)), Log::AppendResult::failed);
   EXPECT_TRUE(log.commit()) << "a failed log must stay failed although the device works again";
   files.crash();
   Log next(files, small(), 7);
@@ -209,34 +209,35 @@
   s.segments_max = 3;
   Log log(files, s, 42);
   read(log);
-  Log::Appended answer;
-  while ((answer = log.append(content(log.next()))) == Log::Appended::yes) ASSERT_FALSE(log.commit());
-  EXPECT_EQ(answer, Log::Appended::no_room);
+  Log::AppendResult answer;
+  while ((answer = log.append(content(log.next()))) == Log::AppendResult::appended)
+    ASSERT_FALSE(log.commit());
+  EXPECT_EQ(answer, Log::AppendResult::no_space);
   EXPECT_EQ(log.segments(), 3u);
   ASSERT_FALSE(log.release(log.durable()));
   for (int i = 0; i < 500; i++) {
-    ASSERT_EQ(log.append(content(log.next())), Log::Appended::yes) << i;
+    ASSERT_EQ(log.append(content(log.next())), Log::AppendResult::appended) << i;
     ASSERT_FALSE(log.commit());
     ASSERT_FALSE(log.release(log.durable()));
   }
   EXPECT_LE(files.names().size(), 5u);
-  EXPECT_EQ(log.append(""), Log::Appended::too_large);
-  EXPECT_EQ(log.append(std::string(401, 'x')), Log::Appended::too_large);
+  EXPECT_EQ(log.append(""), Log::AppendResult::too_large);
+  EXPECT_EQ(log.append(std::string(401, 'x')), Log::AppendResult::too_large);
 }
 
 TEST(Log, OfALaterVersionOrOfSomethingElseIsLeftAlone) {
   FaultyFiles files(5);
   Log(files, small(), 42).open([](Sequence, std::string_view) {});
-  files.settle();
+  files.make_durable();
   const std::string name = "log-0000000000000001";
   FaultyFiles later = files, other = files;
   later.bytes_of(name)[16] = 9;
   Log a(later, small(), 1);
-  EXPECT_EQ(read(a).opened.problem->what, LogProblem::What::newer);
+  EXPECT_EQ(read(a).opened.problem->kind, LogProblem::Kind::newer_version);
   other.bytes_of(name) = "notes of the cellar";
   Log b(other, small(), 1);
-  EXPECT_EQ(read(b).opened.problem->what, LogProblem::What::not_a_log);
-  EXPECT_EQ(b.append("x"), Log::Appended::failed);
+  EXPECT_EQ(read(b).opened.problem->kind, LogProblem::Kind::not_a_log);
+  EXPECT_EQ(b.append("x"), Log::AppendResult::failed);
 }
 
 TEST(Folder, IsLockedAndKeepsALogOnTheDisk) {
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -9,14 +9,14 @@
 namespace cedarplank::testing {
 namespace {
 
+using trace::MessageTrace;
 using trace::Recorder;
 using trace::Step;
-using trace::Story;
 using trace::Verdict;
 using What = Step::What;
 
-trace::Head head(const std::string& cls = "status", const std::string& destination = "d") {
-  trace::Head h;
+trace::MessageInfo head(const std::string& cls = "status", const std::string& destination = "d") {
+  trace::MessageInfo h;
   h.message_class = cls, h.destination = destination, h.connection = 1, h.stream = 1;
   h.aim = 1'000 * kS, h.deadline = 2'000 * kS;
   return h;
@@ -28,26 +28,27 @@
 }
 // Collects the traces that a recorder keeps.
 struct KeptTraces {
-  std::vector<Story> all;
+  std::vector<MessageTrace> all;
   Recorder::Sink sink() {
-    return [this](Story&& s) { all.push_back(std::move(s)); };
+    return [this](MessageTrace&& s) { all.push_back(std::move(s)); };
   }
   std::size_t of(Verdict v, const std::string& cls = "status") const {
-    return static_cast<std::size_t>(std::count_if(
-        all.begin(), all.end(), [&](const Story& s) { return s.verdict == v && s.message_class == cls; }));
+    return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](const MessageTrace& s) {
+      return s.verdict == v && s.message_class == cls;
+    }));
   }
 };
 // Records a message from its acceptance to its end.
-void record_message(Recorder& r, Time at, trace::MessageId id, Verdict v, trace::Head h = head()) {
+void record_message(Recorder& r, Time at, trace::MessageId id, Verdict v, trace::MessageInfo h = head()) {
   r.begin(at, id, std::move(h));
-  r.step(id, step(at, What::send, 0));
-  r.over(id, v, step(at, What::answered));
+  r.record_step(id, step(at, What::send, 0));
+  r.record_end(id, v, step(at, What::answered));
   r.close(at, id);
 }
 
 TEST(Recorder, KeepsAllTroubleAndASampleThatStandsForTheRest) {
   KeptTraces kept;
-  Recorder r({.sample = 50, .per_second = 1e9}, 7, kept.sink());
+  Recorder r({.sample = 50, .max_traces_per_second = 1e9}, 7, kept.sink());
   for (trace::MessageId id = 1; id <= 100'000; id++)
     record_message(r, static_cast<Time>(id) * 100, id, id % 1'000 == 0 ? Verdict::failed : Verdict::served);
   EXPECT_EQ(kept.of(Verdict::failed), 100u);
@@ -56,24 +57,25 @@
   for (const auto& s : kept.all) represented += s.stands_for;
   EXPECT_GT(represented, 99'000u);  // all but those since the last one kept
   EXPECT_LE(represented, 100'000u);
-  EXPECT_EQ(r.open(), 0u);
+  EXPECT_EQ(r.open_traces(), 0u);
   EXPECT_EQ(r.bytes(), 0u);
 }
 
 TEST(Recorder, ALateServeARetryAndAWatchedDestinationAreWorthKeeping) {
   KeptTraces kept;
-  Recorder r({.sample = 0, .per_second = 1e9, .watch = {"w"}}, 7, kept.sink());
+  Recorder r({.sample = 0, .max_traces_per_second = 1e9, .watch = {"w"}}, 7, kept.sink());
   record_message(r, 0, 1, Verdict::served);
   record_message(r, 0, 2, Verdict::served, head("status", "w"));
   r.begin(0, 3, head());
-  r.over(3, Verdict::served, step(1'001 * kS, What::answered));
+  r.record_end(3, Verdict::served, step(1'001 * kS, What::answered));
   r.close(0, 3);
   r.begin(0, 4, head());
-  r.step(4, step(1, What::send, 0)), r.step(4, step(2, What::ended, 0)), r.step(4, step(3, What::send, 1));
-  r.over(4, Verdict::served, step(5, What::answered));
-  r.step(4, step(9, What::ended, 1));  // reported only after the answer
+  r.record_step(4, step(1, What::send, 0)), r.record_step(4, step(2, What::ended, 0)),
+      r.record_step(4, step(3, What::send, 1));
+  r.record_end(4, Verdict::served, step(5, What::answered));
+  r.record_step(4, step(9, What::ended, 1));  // reported only after the answer
   r.close(9, 4);
-  r.turned_away(9, 5, head(), "full");
+  r.record_rejection(9, 5, head(), "full");
   ASSERT_EQ(kept.all.size(), 4u);
   EXPECT_TRUE(kept.all[0].watched);
   EXPECT_EQ(kept.all[1].verdict, Verdict::late);
@@ -87,32 +89,33 @@
 TEST(Recorder, StaysWithinItsMemoryAndGivesUpThePlainOnesFirst) {
   KeptTraces kept;
   const std::size_t most = 1 << 20;
-  Recorder r({.bytes_max = most, .steps_max = 16, .sample = 0, .per_second = 1e9}, 7, kept.sink());
+  Recorder r({.max_open_bytes = most, .max_steps_per_trace = 16, .sample = 0, .max_traces_per_second = 1e9},
+             7, kept.sink());
   for (trace::MessageId id = 1; id <= 1'000; id++) {
     r.begin(0, id, head());
-    if (id > 500) r.step(id, step(1, What::send, 1));  // a retry: not a trouble-free trace
+    if (id > 500) r.record_step(id, step(1, What::send, 1));  // a retry: not a trouble-free trace
   }
   for (trace::MessageId id = 1'001; id <= 100'000; id++) r.begin(2, id, head());
   for (int i = 0; i < 20; i++)
     for (trace::MessageId id = 501; id <= 1'000; id++) {
-      r.step(id, step(3, What::ended, 1));
+      r.record_step(id, step(3, What::ended, 1));
       ASSERT_LE(r.bytes(), most);
     }
-  EXPECT_GT(r.counts().shed, 90'000u);
+  EXPECT_GT(r.counts().discarded_for_memory, 90'000u);
   for (trace::MessageId id = 1; id <= 100'000; id++)
-    r.over(id, Verdict::failed, step(4, What::answered)), r.close(4, id);
+    r.record_end(id, Verdict::failed, step(4, What::answered)), r.close(4, id);
   std::size_t troubled = 0;
   for (const auto& s : kept.all) troubled += s.id > 500 && s.id <= 1'000;
   EXPECT_EQ(troubled, 500u);  // steps may have been left out, but no trace was lost
   EXPECT_EQ(r.bytes(), 0u);
-  EXPECT_EQ(r.open(), 0u);
+  EXPECT_EQ(r.open_traces(), 0u);
 }
 
 // Guards against a flood of one kind of trouble that hides another kind: every trace of the rare kind is
 // kept.
 TEST(Recorder, AFloodOfOneKindLeavesRoomForAnother) {
   KeptTraces kept;
-  Recorder r({.per_second = 20}, 7, kept.sink());
+  Recorder r({.max_traces_per_second = 20}, 7, kept.sink());
   trace::MessageId id = 1;
   for (int second = 0; second < 60; second++) {
     for (int i = 0; i < 5'000; i++) record_message(r, second * kS + i * 100, id++, Verdict::refused);
@@ -121,17 +124,17 @@
   EXPECT_EQ(kept.of(Verdict::failed, "pay"), 60u);
   EXPECT_GE(kept.of(Verdict::refused), 60u * 10);
   EXPECT_LE(kept.all.size(), 60u * 20 + 40);
-  EXPECT_GT(r.counts().dropped, 290'000u);
+  EXPECT_GT(r.counts().over_rate_limit, 290'000u);
 }
 
 TEST(Recorder, ALongStoryKeepsItsBeginningAndItsEnd) {
   KeptTraces kept;
-  Recorder r({.steps_max = 10, .per_second = 1e9}, 7, kept.sink());
+  Recorder r({.max_steps_per_trace = 10, .max_traces_per_second = 1e9}, 7, kept.sink());
   r.begin(0, 1, head());
-  for (int i = 0; i < 1'000; i++) r.step(1, step(i + 1, What::send, i));
-  r.over(1, Verdict::failed, step(2'000, What::answered));
+  for (int i = 0; i < 1'000; i++) r.record_step(1, step(i + 1, What::send, i));
+  r.record_end(1, Verdict::failed, step(2'000, What::answered));
   r.close(2'000, 1);
-  const Story& s = kept.all.at(0);
+  const MessageTrace& s = kept.all.at(0);
   ASSERT_EQ(s.steps.size(), 10u);
   EXPECT_EQ(s.elided, 1'002u - 10u);
   EXPECT_EQ(s.steps[1].attempt, 0);
@@ -142,44 +145,45 @@
 TEST(Story, TheTimesPartsAddUpWhateverTheSteps) {
   std::mt19937 random(3);
   for (int n = 0; n < 500; n++) {
-    Story s;
-    s.taken = 100;
+    MessageTrace s;
+    s.accepted_at = 100;
     Time at = 100;
     for (int i = 0; i < 12; i++) {
       at += random() % 50;
       const What what[] = {What::send, What::carried, What::ended};
       s.steps.push_back(step(at, what[random() % 3], static_cast<int>(random() % 3)));
     }
-    s.over_at = 100 + random() % 600;
-    const auto p = trace::parts_of(s);
-    EXPECT_EQ(p.held + p.connection + p.endpoint, s.over_at - s.taken);
+    s.ended_at = 100 + random() % 600;
+    const auto p = trace::time_breakdown(s);
+    EXPECT_EQ(p.held + p.connection + p.endpoint, s.ended_at - s.accepted_at);
     EXPECT_GE(std::min({p.held, p.connection, p.endpoint}), 0);
   }
-  Story s;
+  MessageTrace s;
   s.steps = {step(0, What::taken), step(10, What::send, 0), step(14, What::carried, 0),
              step(44, What::ended, 0)};
-  s.over_at = 45;
-  const auto p = trace::parts_of(s);
+  s.ended_at = 45;
+  const auto p = trace::time_breakdown(s);
   EXPECT_EQ(p.held, 11);
   EXPECT_EQ(p.connection, 4);
   EXPECT_EQ(p.endpoint, 30);
 }
 
 TEST(Story, ComesBackFromItsLineAsItWas) {
-  Story s;
+  MessageTrace s;
   s.message = "relay-0-7", s.key = "k \"quoted\" \xc3\xa9", s.destination = "d", s.message_class = "pay";
-  s.verdict = Verdict::turned_away, s.wall = 1'700'000'000'123'456, s.taken = s.wall;
-  s.over_at = s.taken + 99, s.aim = s.taken + 50, s.deadline = s.taken + 70, s.stands_for = 12, s.elided = 3;
-  Step a = step(s.taken + 1, What::send, 0);
-  a.round = 5, a.span = 12, a.endpoint = "e", a.why = "first try";
-  s.steps = {step(s.taken, What::taken), a};
+  s.verdict = Verdict::turned_away, s.wall = 1'700'000'000'123'456, s.accepted_at = s.wall;
+  s.ended_at = s.accepted_at + 99, s.aim = s.accepted_at + 50, s.deadline = s.accepted_at + 70,
+  s.stands_for = 12, s.elided = 3;
+  Step a = step(s.accepted_at + 1, What::send, 0);
+  a.round = 5, a.span = 12, a.endpoint = "e", a.literal_reason = "first try";
+  s.steps = {step(s.accepted_at, What::taken), a};
   const std::string line = trace::to_json(s);
-  const Story back = trace::from_json(line);
+  const MessageTrace back = trace::from_json(line);
   EXPECT_EQ(trace::to_json(back), line);
   EXPECT_EQ(back.key, s.key);
   EXPECT_EQ(back.verdict, s.verdict);
   EXPECT_EQ(back.steps[1].reason(), "first try");
-  EXPECT_EQ(back.deadline - back.taken, 70);
+  EXPECT_EQ(back.deadline - back.accepted_at, 70);
 }
 
 TEST(Story, LinesThatAreNoneNameTheirFault) {
@@ -204,9 +208,9 @@
   }
 }
 
-std::vector<Story> stories_in(const std::string& file) {
-  std::vector<Story> all;
-  trace::read_stories({file}, [&](Story&& s) { all.push_back(std::move(s)); });
+std::vector<MessageTrace> stories_in(const std::string& file) {
+  std::vector<MessageTrace> all;
+  trace::read_traces({file}, [&](MessageTrace&& s) { all.push_back(std::move(s)); });
   return all;
 }
 
@@ -219,21 +223,21 @@
   s.start();
   Client c(s.loop, s.node->address());
   const auto first = c.push("/push/c/status", "id=w;");
-  turn(s.loop, [&] { return c.answers.count(first) > 0; });
+  run_until(s.loop, [&] { return c.answers.count(first) > 0; });
   standin::FaultSettings f;
   f.fault = standin::Fault::refused_stream;
   for (const char* e : {"c-1", "c-2"}) s.endpoint(e).begin(f);
   const auto id =
       c.push("/push/c/gate", "id=a;", {{"ttl", "5"}, {"idempotency-key", "my-key"}, {"topic", "t"}});
-  turn(s.loop, [&] { return s.calls() >= 2; });
+  run_until(s.loop, [&] { return s.calls() >= 2; });
   for (const char* e : {"c-1", "c-2"}) s.endpoint(e).end(f.fault);
-  turn(s.loop, [&] { return c.answers.count(id) > 0; });
+  run_until(s.loop, [&] { return c.answers.count(id) > 0; });
   s.node.reset();  // writes all traces to the file
   const auto all = stories_in(s.settings.trace_file);
   ASSERT_EQ(all.size(), 2u);
-  const Story& story = all[1];
-  EXPECT_TRUE(trace::is_named(story, "my-key"));
-  EXPECT_TRUE(trace::is_named(story, "relay-0-2"));
+  const MessageTrace& story = all[1];
+  EXPECT_TRUE(trace::matches_name(story, "my-key"));
+  EXPECT_TRUE(trace::matches_name(story, "relay-0-2"));
   EXPECT_EQ(story.verdict, Verdict::retried);
   EXPECT_EQ(story.steps.front().stream, id);
   std::vector<std::pair<std::string, std::uint32_t>> traced, seen;
@@ -251,7 +255,7 @@
   EXPECT_EQ(traced, seen);
   EXPECT_GE(sends, 2);
   EXPECT_EQ(story.steps.back().what, What::answered);
-  const auto text = trace::tell(story);
+  const auto text = trace::format_trace(story);
   EXPECT_NE(text.find("attempt 2 to c-"), std::string::npos) << text;
   EXPECT_NE(text.find("REFUSED_STREAM"), std::string::npos) << text;
 }
@@ -267,13 +271,13 @@
   s.endpoint("c-1").begin({.fault = standin::Fault::drop_after_take});
   Client c(s.loop, s.node->address());
   const auto id = c.push("/push/c/pay", "id=p;");
-  turn(s.loop, [&] { return c.answers.count(id) > 0; });
+  run_until(s.loop, [&] { return c.answers.count(id) > 0; });
   s.endpoint("c-1").end(standin::Fault::drop_after_take);
   s.endpoint("c-1").begin({.fault = standin::Fault::silent});
   for (int i = 0; i < 60; i++) c.push("/push/c/status", "id=f;");
-  turn(s.loop, [&] { return c.answers.size() >= 20; });
+  run_until(s.loop, [&] { return c.answers.size() >= 20; });
   c.stream->close(false);
-  turn(s.loop, [&] { return s.node->core().held() == 0; });
+  run_until(s.loop, [&] { return s.node->core().held() == 0; });
   s.node.reset();
   std::map<Verdict, std::string> last;
   for (const auto& story : stories_in(s.settings.trace_file))
@@ -290,17 +294,17 @@
   Service s;
   s.settings.trace_file = s.folder;  // a directory can't be opened as a file
   EXPECT_THROW(s.start(), std::runtime_error);
-  Story good;
+  MessageTrace good;
   good.message = "m";
   const std::string line = trace::to_json(good);
   const std::string file = s.folder + "/stories";
   std::ofstream(file) << line << "\n" << line.substr(0, 20);  // as a killed relay leaves the file
-  const auto read = trace::read_stories({file}, [](Story&&) {});
-  EXPECT_EQ(read.stories, 1u);
-  EXPECT_EQ(read.torn, 1u);
+  const auto read = trace::read_traces({file}, [](MessageTrace&&) {});
+  EXPECT_EQ(read.traces, 1u);
+  EXPECT_EQ(read.incomplete_lines, 1u);
   std::ofstream(file) << line << "\n" << line.substr(0, 20) << "\n" << line << "\n";
   try {
-    trace::read_stories({file}, [](Story&&) {});
+    trace::read_traces({file}, [](MessageTrace&&) {});
     ADD_FAILURE();
   } catch (const std::runtime_error& e) {
     EXPECT_NE(std::string(e.what()).find("stories:2: this is no JSON"), std::string::npos) << e.what();
