--- a/app/drill.cpp
+++ b/app/drill.cpp
@@ -1,10 +1,9 @@
 // `cedarplank drill`: runs a scenario against relays as processes.
-#include "rig/drill.hpp"
-
 #include <cstdio>
 #include <filesystem>
 
 #include "app/commands.hpp"
+#include "rig/scenario_run.hpp"
 
 namespace cedarplank::app {
 
--- a/app/kills.cpp
+++ b/app/kills.cpp
@@ -1,11 +1,10 @@
 // `cedarplank kills`: kills a relay that keeps a journal again and again and checks the rules.
-#include "rig/kills.hpp"
-
 #include <cstdio>
 #include <filesystem>
 
 #include "app/commands.hpp"
 #include "app/exit_codes.hpp"
+#include "rig/kill_test.hpp"
 
 namespace cedarplank::app {
 
--- a/app/lab.cpp
+++ b/app/lab.cpp
@@ -9,7 +9,7 @@
 #include "app/commands.hpp"
 #include "config/document.hpp"
 #include "lab/experiment.hpp"
-#include "rig/drill.hpp"
+#include "rig/scenario_run.hpp"
 
 namespace cedarplank::app {
 namespace {
--- a/app/send.cpp
+++ b/app/send.cpp
@@ -4,7 +4,7 @@
 #include <sstream>
 
 #include "app/commands.hpp"
-#include "rig/load.hpp"
+#include "rig/load_client.hpp"
 
 namespace cedarplank::app {
 namespace {
--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <stdexcept>
 
-#include "journal/keeper.hpp"
+#include "journal/coordinator.hpp"
 #include "journal/recovery.hpp"
 #include "store/log.hpp"
 
--- a/emulator/place.cpp
+++ b/emulator/capacity.cpp
@@ -1,4 +1,4 @@
-#include "emulator/place.hpp"
+#include "emulator/capacity.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/emulator/partner.hpp
+++ b/emulator/partner.hpp
@@ -5,7 +5,7 @@
 
 #include <memory>
 
-#include "emulator/place.hpp"
+#include "emulator/capacity.hpp"
 
 namespace cedarplank::emulator {
 
--- a/fuzz/http2_fuzz.cpp
+++ b/fuzz/http2_fuzz.cpp
@@ -3,7 +3,7 @@
 #include <cstdlib>
 
 #include "http2/connection.hpp"
-#include "record/tap.hpp"
+#include "record/wire_capture.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace cedarplank::http2;
--- a/lab/baselines.cpp
+++ b/lab/baselines.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <vector>
 
-#include "relay/fate.hpp"
+#include "relay/final_answer.hpp"
 
 namespace cedarplank::lab {
 namespace {
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -11,7 +11,7 @@
 #include <thread>
 
 #include "config/document.hpp"
-#include "trace/file.hpp"
+#include "trace/trace_file.hpp"
 
 namespace cedarplank::lab {
 namespace {
--- a/lab/experiment.hpp
+++ b/lab/experiment.hpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/draw.hpp"
-#include "lab/world.hpp"
+#include "lab/scenario_draw.hpp"
+#include "lab/simulation.hpp"
 
 namespace cedarplank::lab {
 
--- a/lab/draw.cpp
+++ b/lab/scenario_draw.cpp
@@ -1,5 +1,5 @@
 // Random scenarios: replaces `draw`, `pick` and `times` by values drawn with a seed.
-#include "lab/draw.hpp"
+#include "lab/scenario_draw.hpp"
 
 #include <yaml-cpp/yaml.h>
 
--- a/lab/endpoints.cpp
+++ b/lab/simulated_endpoints.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <random>
 
-#include "lab/day.hpp"
+#include "lab/simulation_parts.hpp"
 
 namespace cedarplank::lab::day {
 
--- a/lab/relay.cpp
+++ b/lab/simulated_relay.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "gateway/semantics.hpp"
-#include "lab/day.hpp"
+#include "lab/simulation_parts.hpp"
 
 namespace cedarplank::lab::day {
 
--- a/lab/world.cpp
+++ b/lab/simulation.cpp
@@ -1,10 +1,10 @@
 // The clients of a simulation and the run of its whole day.
-#include "lab/world.hpp"
+#include "lab/simulation.hpp"
 
 #include <algorithm>
 #include <chrono>
 
-#include "lab/day.hpp"
+#include "lab/simulation_parts.hpp"
 
 namespace cedarplank::lab {
 namespace day {
--- a/lab/world.hpp
+++ b/lab/simulation.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "lab/baselines.hpp"
-#include "rig/script.hpp"
+#include "rig/scenario_script.hpp"
 #include "trace/recorder.hpp"
 
 namespace cedarplank::lab {
--- a/lab/day.hpp
+++ b/lab/simulation_parts.hpp
@@ -11,10 +11,10 @@
 
 #include "back/driver.hpp"
 #include "config/relay_settings.hpp"
-#include "lab/clock.hpp"
-#include "lab/world.hpp"
-#include "relay/desk.hpp"
-#include "relay/partner_book.hpp"
+#include "lab/simulation.hpp"
+#include "lab/virtual_clock.hpp"
+#include "relay/partner_registry.hpp"
+#include "relay/relay_assembly.hpp"
 
 namespace cedarplank::lab::day {
 
--- a/rig/client_wire.cpp
+++ b/rig/client_protocol.cpp
@@ -1,4 +1,4 @@
-#include "rig/client_wire.hpp"
+#include "rig/client_protocol.hpp"
 
 #include <map>
 
--- a/rig/client_wire.hpp
+++ b/rig/client_protocol.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "rig/load_book.hpp"
+#include "rig/load_model.hpp"
 
 namespace cedarplank::rig {
 
--- a/rig/kills.cpp
+++ b/rig/kill_test.cpp
@@ -1,4 +1,4 @@
-#include "rig/kills.hpp"
+#include "rig/kill_test.hpp"
 
 #include <fmt/core.h>
 #include <signal.h>
@@ -15,7 +15,7 @@
 #include <stdexcept>
 
 #include "config/partners.hpp"
-#include "rig/client_wire.hpp"
+#include "rig/client_protocol.hpp"
 #include "rig/process.hpp"
 #include "standin/server.hpp"
 
--- a/rig/load.cpp
+++ b/rig/load_client.cpp
@@ -1,4 +1,4 @@
-#include "rig/load.hpp"
+#include "rig/load_client.hpp"
 
 #include <algorithm>
 
--- a/rig/load.hpp
+++ b/rig/load_client.hpp
@@ -11,9 +11,9 @@
 
 #include "cedarplank/dispatcher.hpp"
 #include "net/socket.hpp"
-#include "record/smpp_tap.hpp"
-#include "rig/client_wire.hpp"
-#include "rig/load_book.hpp"
+#include "record/smpp_wire_capture.hpp"
+#include "rig/client_protocol.hpp"
+#include "rig/load_model.hpp"
 
 namespace cedarplank::rig {
 
--- a/rig/load_book.cpp
+++ b/rig/load_model.cpp
@@ -1,4 +1,4 @@
-#include "rig/load_book.hpp"
+#include "rig/load_model.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/rig/observed.hpp
+++ b/rig/observed.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "record/tap.hpp"
+#include "record/wire_capture.hpp"
 
 namespace cedarplank::rig {
 
--- a/rig/scenario.hpp
+++ b/rig/scenario.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "rig/load_book.hpp"
+#include "rig/load_model.hpp"
 #include "standin/settings.hpp"
 
 namespace cedarplank::rig {
--- a/rig/drill.cpp
+++ b/rig/scenario_run.cpp
@@ -1,4 +1,4 @@
-#include "rig/drill.hpp"
+#include "rig/scenario_run.hpp"
 
 #include <fmt/format.h>
 #include <rapidjson/document.h>
@@ -14,9 +14,9 @@
 #include "config/partners.hpp"
 #include "config/relay_settings.hpp"
 #include "net/datagram.hpp"
-#include "rig/load.hpp"
+#include "rig/load_client.hpp"
 #include "rig/process.hpp"
-#include "rig/script.hpp"
+#include "rig/scenario_script.hpp"
 
 namespace cedarplank::rig {
 namespace {
--- a/rig/script.cpp
+++ b/rig/scenario_script.cpp
@@ -1,4 +1,4 @@
-#include "rig/script.hpp"
+#include "rig/scenario_script.hpp"
 
 #include <algorithm>
 #include <random>
--- a/src/admission/door.cpp
+++ b/src/admission/admission_controller.cpp
@@ -1,4 +1,4 @@
-#include "admission/door.hpp"
+#include "admission/admission_controller.hpp"
 
 #include <algorithm>
 
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -19,7 +19,7 @@
 #include "engine/engine_access.hpp"
 #include "engine/lifecycle.hpp"
 #include "node/node.hpp"
-#include "relay/intake.hpp"
+#include "relay/request_validator.hpp"
 
 namespace cedarplank::delivery {
 namespace {
--- a/src/gateway/front.cpp
+++ b/src/gateway/push_server.cpp
@@ -1,4 +1,4 @@
-#include "gateway/front.hpp"
+#include "gateway/push_server.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/gateway/front.hpp
+++ b/src/gateway/push_server.hpp
@@ -14,9 +14,9 @@
 #include "gateway/semantics.hpp"
 #include "http2/connection.hpp"
 #include "net/socket.hpp"
-#include "relay/book.hpp"
 #include "relay/core.hpp"
-#include "relay/intake.hpp"
+#include "relay/message_registry.hpp"
+#include "relay/request_validator.hpp"
 
 namespace cedarplank::gateway {
 
--- a/src/gateway/semantics.hpp
+++ b/src/gateway/semantics.hpp
@@ -9,8 +9,8 @@
 
 #include "config/relay_settings.hpp"
 #include "http2/connection.hpp"
-#include "relay/book.hpp"
 #include "relay/core.hpp"
+#include "relay/message_registry.hpp"
 
 namespace cedarplank::gateway {
 
--- a/src/journal/keeper.cpp
+++ b/src/journal/coordinator.cpp
@@ -1,4 +1,4 @@
-#include "journal/keeper.hpp"
+#include "journal/coordinator.hpp"
 
 #include <algorithm>
 
--- a/src/journal/keeper.hpp
+++ b/src/journal/coordinator.hpp
@@ -33,7 +33,7 @@
 #include <string>
 #include <vector>
 
-#include "journal/image.hpp"
+#include "journal/state_image.hpp"
 #include "relay/core.hpp"
 
 namespace cedarplank::journal {
--- a/src/journal/recovery.hpp
+++ b/src/journal/recovery.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <vector>
 
-#include "journal/image.hpp"
+#include "journal/state_image.hpp"
 
 namespace cedarplank::journal {
 
--- a/src/journal/image.cpp
+++ b/src/journal/state_image.cpp
@@ -1,4 +1,4 @@
-#include "journal/image.hpp"
+#include "journal/state_image.hpp"
 
 #include <algorithm>
 
--- a/src/node/journal.hpp
+++ b/src/node/journal.hpp
@@ -8,12 +8,12 @@
 #include <string>
 
 #include "config/relay_settings.hpp"
-#include "journal/keeper.hpp"
+#include "journal/coordinator.hpp"
 #include "journal/recovery.hpp"
 #include "loop/loop.hpp"
-#include "relay/book.hpp"
-#include "relay/desk.hpp"
-#include "relay/partner_book.hpp"
+#include "relay/message_registry.hpp"
+#include "relay/partner_registry.hpp"
+#include "relay/relay_assembly.hpp"
 #include "store/writer.hpp"
 
 namespace cedarplank::node {
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -7,14 +7,14 @@
 #include <memory>
 
 #include "back/driver.hpp"
-#include "gateway/front.hpp"
+#include "gateway/push_server.hpp"
 #include "node/journal.hpp"
-#include "node/list_file.hpp"
+#include "node/partner_list_file.hpp"
 #include "node/peer_notes.hpp"
-#include "relay/desk.hpp"
-#include "relay/partner_book.hpp"
-#include "sms/front.hpp"
-#include "trace/file.hpp"
+#include "relay/partner_registry.hpp"
+#include "relay/relay_assembly.hpp"
+#include "sms/smpp_server.hpp"
+#include "trace/trace_file.hpp"
 
 namespace cedarplank::node {
 
--- a/src/node/list_file.cpp
+++ b/src/node/partner_list_file.cpp
@@ -1,4 +1,4 @@
-#include "node/list_file.hpp"
+#include "node/partner_list_file.hpp"
 
 #include <sys/stat.h>
 
--- a/src/platform/attempt_log.hpp
+++ b/src/platform/attempt_log.hpp
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "journal/keeper.hpp"
+#include "journal/coordinator.hpp"
 #include "platform/event_log.hpp"
 
 namespace cedarplank::platform {
--- a/src/platform/clients.cpp
+++ b/src/platform/client_connections.cpp
@@ -1,4 +1,4 @@
-#include "platform/clients.hpp"
+#include "platform/client_connections.hpp"
 
 #include <sys/socket.h>
 
--- a/src/platform/discovery.hpp
+++ b/src/platform/discovery.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "platform/catalogue.hpp"
-#include "platform/exchange.hpp"
+#include "platform/http_client.hpp"
 #include "relay/core.hpp"
 
 namespace cedarplank::platform {
--- a/src/platform/endpoints.cpp
+++ b/src/platform/endpoint_transport.cpp
@@ -1,4 +1,4 @@
-#include "platform/endpoints.hpp"
+#include "platform/endpoint_transport.hpp"
 
 #include <sys/socket.h>
 
--- a/src/platform/exchange.cpp
+++ b/src/platform/http_client.cpp
@@ -1,4 +1,4 @@
-#include "platform/exchange.hpp"
+#include "platform/http_client.hpp"
 
 #include <utility>
 
--- a/src/platform/journal.hpp
+++ b/src/platform/journal.hpp
@@ -19,7 +19,7 @@
 #include <string>
 #include <vector>
 
-#include "journal/keeper.hpp"
+#include "journal/coordinator.hpp"
 #include "journal/recovery.hpp"
 #include "loop/loop.hpp"
 #include "store/log.hpp"
--- a/src/platform/outcomes.cpp
+++ b/src/platform/notice_sender.cpp
@@ -1,4 +1,4 @@
-#include "platform/outcomes.hpp"
+#include "platform/notice_sender.hpp"
 
 #include <algorithm>
 
--- a/src/platform/outcomes.hpp
+++ b/src/platform/notice_sender.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "cedarplank/dispatcher.hpp"
-#include "platform/exchange.hpp"
+#include "platform/http_client.hpp"
 
 namespace cedarplank::platform {
 
--- a/src/platform/relay.hpp
+++ b/src/platform/relay.hpp
@@ -11,13 +11,13 @@
 #include <vector>
 
 #include "platform/attempt_log.hpp"
-#include "platform/clients.hpp"
+#include "platform/client_connections.hpp"
 #include "platform/config.hpp"
 #include "platform/discovery.hpp"
-#include "platform/endpoints.hpp"
+#include "platform/endpoint_transport.hpp"
 #include "platform/event_log.hpp"
 #include "platform/journal.hpp"
-#include "platform/outcomes.hpp"
+#include "platform/notice_sender.hpp"
 #include "platform/peers.hpp"
 #include "platform/request_registry.hpp"
 #include "platform/semantics.hpp"
--- a/src/platform/request_registry.hpp
+++ b/src/platform/request_registry.hpp
@@ -22,7 +22,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "platform/clients.hpp"
+#include "platform/client_connections.hpp"
 #include "relay/core.hpp"
 
 namespace cedarplank::platform {
--- a/src/record/smpp_tap.cpp
+++ b/src/record/smpp_wire_capture.cpp
@@ -1,4 +1,4 @@
-#include "record/smpp_tap.hpp"
+#include "record/smpp_wire_capture.hpp"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/record/smpp_tap.hpp
+++ b/src/record/smpp_wire_capture.hpp
@@ -7,7 +7,7 @@
 #include <memory>
 #include <optional>
 
-#include "record/tap.hpp"
+#include "record/wire_capture.hpp"
 #include "smpp/pdu.hpp"
 
 namespace cedarplank::record {
--- a/src/record/tap.cpp
+++ b/src/record/wire_capture.cpp
@@ -1,4 +1,4 @@
-#include "record/tap.hpp"
+#include "record/wire_capture.hpp"
 
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
--- a/src/relay/core.hpp
+++ b/src/relay/core.hpp
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "cedarplank/dispatcher.hpp"
-#include "relay/fate.hpp"
+#include "relay/final_answer.hpp"
 #include "trace/recorder.hpp"
 
 namespace cedarplank::relay {
--- a/src/relay/partner_book.cpp
+++ b/src/relay/partner_registry.cpp
@@ -1,4 +1,4 @@
-#include "relay/partner_book.hpp"
+#include "relay/partner_registry.hpp"
 
 namespace cedarplank::relay {
 
--- a/src/relay/desk.cpp
+++ b/src/relay/relay_assembly.cpp
@@ -1,4 +1,4 @@
-#include "relay/desk.hpp"
+#include "relay/relay_assembly.hpp"
 
 #include <algorithm>
 #include <optional>
--- a/src/relay/desk.hpp
+++ b/src/relay/relay_assembly.hpp
@@ -9,7 +9,7 @@
 #include <map>
 #include <memory>
 
-#include "admission/door.hpp"
+#include "admission/admission_controller.hpp"
 #include "config/relay_settings.hpp"
 #include "relay/core.hpp"
 #include "trace/recorder.hpp"
--- a/src/relay/intake.cpp
+++ b/src/relay/request_validator.cpp
@@ -1,4 +1,4 @@
-#include "relay/intake.hpp"
+#include "relay/request_validator.hpp"
 
 #include <algorithm>
 
--- a/src/sms/bind_guard.cpp
+++ b/src/sms/bind_rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "sms/bind_guard.hpp"
+#include "sms/bind_rate_limiter.hpp"
 
 #include <algorithm>
 
--- a/src/sms/receipt_book.cpp
+++ b/src/sms/receipt_queue.cpp
@@ -1,4 +1,4 @@
-#include "sms/receipt_book.hpp"
+#include "sms/receipt_queue.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/sms/semantics.hpp
+++ b/src/sms/semantics.hpp
@@ -9,7 +9,7 @@
 
 #include "config/relay_settings.hpp"
 #include "relay/core.hpp"
-#include "relay/intake.hpp"
+#include "relay/request_validator.hpp"
 #include "smpp/pdu.hpp"
 #include "smpp/text.hpp"
 
--- a/src/sms/front.cpp
+++ b/src/sms/smpp_server.cpp
@@ -1,4 +1,4 @@
-#include "sms/front.hpp"
+#include "sms/smpp_server.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/sms/front.hpp
+++ b/src/sms/smpp_server.hpp
@@ -9,13 +9,13 @@
 #include <vector>
 
 #include "net/socket.hpp"
-#include "relay/book.hpp"
 #include "relay/core.hpp"
-#include "relay/intake.hpp"
+#include "relay/message_registry.hpp"
+#include "relay/request_validator.hpp"
 #include "smpp/session.hpp"
-#include "sms/bind_guard.hpp"
+#include "sms/bind_rate_limiter.hpp"
 #include "sms/password.hpp"
-#include "sms/receipt_book.hpp"
+#include "sms/receipt_queue.hpp"
 #include "sms/semantics.hpp"
 #include "sms/submissions.hpp"
 
--- a/src/sms/submissions.hpp
+++ b/src/sms/submissions.hpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "relay/intake.hpp"
+#include "relay/request_validator.hpp"
 #include "sms/semantics.hpp"
 
 namespace cedarplank::sms {
--- a/src/trace/json.hpp
+++ b/src/trace/json.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "trace/story.hpp"
+#include "trace/message_trace.hpp"
 
 namespace cedarplank::trace {
 
--- a/src/trace/story.cpp
+++ b/src/trace/message_trace.cpp
@@ -1,4 +1,4 @@
-#include "trace/story.hpp"
+#include "trace/message_trace.hpp"
 
 #include <map>
 
--- a/src/trace/recorder.hpp
+++ b/src/trace/recorder.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "trace/story.hpp"
+#include "trace/message_trace.hpp"
 
 namespace cedarplank::trace {
 
--- a/src/trace/report.hpp
+++ b/src/trace/report.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "trace/story.hpp"
+#include "trace/message_trace.hpp"
 
 namespace cedarplank::trace {
 
--- a/src/trace/file.cpp
+++ b/src/trace/trace_file.cpp
@@ -1,4 +1,4 @@
-#include "trace/file.hpp"
+#include "trace/trace_file.hpp"
 
 #include <spdlog/async.h>
 #include <spdlog/sinks/rotating_file_sink.h>
--- a/src/trace/file.hpp
+++ b/src/trace/trace_file.hpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "trace/story.hpp"
+#include "trace/message_trace.hpp"
 
 namespace spdlog {
 class async_logger;
--- a/standin/http2_wire.cpp
+++ b/standin/http2_protocol.cpp
@@ -2,7 +2,7 @@
 #include <map>
 
 #include "http2/connection.hpp"
-#include "standin/wire.hpp"
+#include "standin/protocol.hpp"
 
 namespace cedarplank::standin {
 namespace {
--- a/standin/wire.hpp
+++ b/standin/protocol.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "emulator/partner.hpp"
-#include "record/tap.hpp"
+#include "record/wire_capture.hpp"
 
 namespace cedarplank::standin {
 
--- a/standin/server.cpp
+++ b/standin/server.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "record/smpp_tap.hpp"
+#include "record/smpp_wire_capture.hpp"
 
 namespace cedarplank::standin {
 
--- a/standin/server.hpp
+++ b/standin/server.hpp
@@ -12,8 +12,8 @@
 
 #include "emulator/partner.hpp"
 #include "net/socket.hpp"
-#include "record/tap.hpp"
-#include "standin/wire.hpp"
+#include "record/wire_capture.hpp"
+#include "standin/protocol.hpp"
 
 namespace cedarplank::standin {
 
--- a/standin/smsc_wire.cpp
+++ b/standin/smsc_protocol.cpp
@@ -7,7 +7,7 @@
 
 #include "smpp/session.hpp"
 #include "smpp/text.hpp"
-#include "standin/wire.hpp"
+#include "standin/protocol.hpp"
 
 namespace cedarplank::standin {
 namespace {
--- a/tests/door_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -1,5 +1,5 @@
 // Tests of admission control, without sockets.
-#include "admission/door.hpp"
+#include "admission/admission_controller.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/burst_test.cpp
+++ b/tests/burst_test.cpp
@@ -5,7 +5,7 @@
 
 #include "lab/baselines.hpp"
 #include "rig/checker.hpp"
-#include "rig/load.hpp"
+#include "rig/load_client.hpp"
 #include "service.hpp"
 
 namespace cedarplank::testing {
--- a/tests/conformance_test.cpp
+++ b/tests/conformance_test.cpp
@@ -10,8 +10,8 @@
 
 #include "cedarplank/delivery.hpp"
 #include "esme.hpp"
-#include "form.hpp"
 #include "rig/process.hpp"
+#include "standin_thread.hpp"
 
 namespace cedarplank::testing {
 namespace {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -6,8 +6,8 @@
 #include <algorithm>
 
 #include "gateway/semantics.hpp"
-#include "relay/intake.hpp"
-#include "relay/partner_book.hpp"
+#include "relay/partner_registry.hpp"
+#include "relay/request_validator.hpp"
 
 namespace cedarplank::relay {
 namespace {
--- a/tests/delivery_test.cpp
+++ b/tests/delivery_test.cpp
@@ -14,7 +14,7 @@
 
 #include "engine/engine_access.hpp"
 #include "engine/lifecycle.hpp"
-#include "form.hpp"
+#include "standin_thread.hpp"
 
 namespace cedarplank::testing {
 namespace {
--- a/tests/faults/fleet.hpp
+++ b/tests/faults/fleet.hpp
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "faults/control.hpp"
-#include "faults/judge.hpp"
 #include "faults/proxy.hpp"
+#include "faults/rule_checker.hpp"
 #include "http1_server.hpp"
 #include "rig/process.hpp"
 
--- a/tests/faults/judge.cpp
+++ b/tests/faults/rule_checker.cpp
@@ -1,4 +1,4 @@
-#include "faults/judge.hpp"
+#include "faults/rule_checker.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/tests/journal_crash_test.cpp
+++ b/tests/journal_crash_test.cpp
@@ -7,7 +7,7 @@
 #include <random>
 
 #include "faulty_files.hpp"
-#include "journal/keeper.hpp"
+#include "journal/coordinator.hpp"
 #include "journal/recovery.hpp"
 #include "store/log.hpp"
 
--- a/tests/journal_model_test.cpp
+++ b/tests/journal_model_test.cpp
@@ -9,7 +9,7 @@
 #include <sstream>
 #include <unordered_set>
 
-#include "journal/keeper.hpp"
+#include "journal/coordinator.hpp"
 #include "journal/recovery.hpp"
 
 namespace cedarplank::testing {
--- a/tests/journal_service_test.cpp
+++ b/tests/journal_service_test.cpp
@@ -1,7 +1,7 @@
 // A relay with a journal on loopback: the answers that its clients get before and after a restart.
 #include <gtest/gtest.h>
 
-#include "journal/keeper.hpp"
+#include "journal/coordinator.hpp"
 #include "node/clock.hpp"
 #include "service.hpp"
 #include "store/log.hpp"
--- a/tests/platform_crossings_test.cpp
+++ b/tests/platform_crossings_test.cpp
@@ -1,7 +1,7 @@
 // Races on the relay's connections: pairs of events that coincide, each forced into the harmful order by a
 // peer that acts at a given byte, by a full accept queue, or by calling the transport directly.
-#include "platform/endpoints.hpp"
-#include "platform_world.hpp"
+#include "platform/endpoint_transport.hpp"
+#include "platform_fixture.hpp"
 
 namespace cedarplank::platform::testing {
 namespace {
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,7 +1,7 @@
 // Tests of the platform protocol on loopback: every outcome, malformed requests and answers, restarts,
 // reloads and limits. All parties run in one event loop; no test sleeps.
 #include "platform/semantics.hpp"
-#include "platform_world.hpp"
+#include "platform_fixture.hpp"
 
 namespace cedarplank::platform::testing {
 namespace {
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -3,7 +3,7 @@
 
 #include <set>
 
-#include "rig/load.hpp"
+#include "rig/load_client.hpp"
 
 namespace cedarplank::testing {
 namespace {
--- a/tests/smpp_front_test.cpp
+++ b/tests/smpp_front_test.cpp
@@ -3,9 +3,9 @@
 #include <random>
 
 #include "esme.hpp"
-#include "sms/bind_guard.hpp"
+#include "sms/bind_rate_limiter.hpp"
 #include "sms/password.hpp"
-#include "sms/receipt_book.hpp"
+#include "sms/receipt_queue.hpp"
 
 namespace cedarplank::testing {
 namespace {
--- a/tests/smpp_mixed_test.cpp
+++ b/tests/smpp_mixed_test.cpp
@@ -2,7 +2,7 @@
 // protocol, sent to push gateways and message centres while binds and connections are dropped. The checker
 // judges the run by the traffic recorded at the sockets.
 #include "rig/checker.hpp"
-#include "rig/load.hpp"
+#include "rig/load_client.hpp"
 #include "service.hpp"
 #include "sms/password.hpp"
 
