--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -136,7 +136,7 @@
   Time now = 0;
   bool in_round = false;  // between ROUND and YOUR_TURN
   std::map<std::string, Instance> instances;
-  std::map<std::int64_t, std::vector<ListEntry>> endpoint_lists;  // endpoint lists by RosterId
+  std::map<std::int64_t, std::vector<ListEntry>> endpoint_lists;  // by RosterId
   // Instances with an event in this batch, in the order of their first event.
   std::vector<std::string> instances_to_answer;
 
--- a/src/config/relay_settings.hpp
+++ b/src/config/relay_settings.hpp
@@ -57,7 +57,6 @@
   std::string prefix, destination;
   bool operator==(const SmppRoute&) const = default;
 };
-// The SMPP server.
 struct SmppServerSettings {
   std::string listen;
   std::string system_id = "cedarplank";
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -163,9 +163,9 @@
   double tokens = 1;          // of the pace's token bucket
   // Last update of the tokens; last cut and last raise of the pace.
   Time tokens_updated_at = 0, pace_cut_at = -kNever, pace_raised_at = 0;
-  Time told_wait_until = 0;  // end of the told wait
-  Rate served, refused;      // calls
-  int refusals_in_row = 0;   // since the last serve
+  Time told_wait_until = 0;
+  Rate served, refused;     // calls
+  int refusals_in_row = 0;  // since the last serve
   std::size_t kind = 0;
   // Share of attempts allowed, as of its last cut, after refusals that this relay or others met.
   double allowed_share = 1;
@@ -222,8 +222,8 @@
   EndpointState* endpoint = nullptr;
   Time sent_at = 0;
   int messages = 0, outcomes_left = 0;  // in the call; of these, without an outcome yet
-  bool outcome_counted = false;         // its outcome was counted
-  double idle_before = 0;               // seconds for which the endpoint was unused before it; 0: first use
+  bool outcome_counted = false;
+  double idle_before = 0;  // seconds for which the endpoint was unused before it; 0: first use
 };
 
 struct Message {
@@ -253,7 +253,7 @@
   Settings settings;
   std::mt19937_64 random;
   Time now = 0;
-  std::vector<Action>* round_actions = nullptr;  // actions of the present round
+  std::vector<Action>* round_actions = nullptr;
   std::map<EndpointId, EndpointState> endpoints;
   std::map<DestinationId, DestinationState> destinations;
   std::map<MessageId, Message> messages;
--- a/src/http2/connection.hpp
+++ b/src/http2/connection.hpp
@@ -123,8 +123,8 @@
     std::int64_t send_window = 0, receive_window = 0, unreturned_window = 0;
     bool remote_ended = false, local_ended = false;  // half closed (section 5.1)
     bool headers_seen = false, trailers_seen = false;
-    bool head_request = false;      // the response may have a content-length without a body
-    std::size_t header_blocks = 0;  // header blocks received
+    bool head_request = false;  // the response may have a content-length without a body
+    std::size_t header_blocks = 0;
     std::optional<std::uint64_t> content_length;
     // Bytes of body received so far, and those received before this side's response.
     std::uint64_t received = 0, received_before_response = 0;
--- a/src/journal/coordinator.cpp
+++ b/src/journal/coordinator.cpp
@@ -7,7 +7,7 @@
 namespace cedarplank::journal {
 namespace {
 
-constexpr std::uint64_t kBytesPerMark = 64 * 1024;  // bytes between two entries of marks_
+constexpr std::uint64_t kBytesPerMark = 64 * 1024;  // bytes between two entries of byte_marks_
 
 }  // namespace
 
--- a/src/journal/coordinator.hpp
+++ b/src/journal/coordinator.hpp
@@ -66,7 +66,7 @@
   struct Ports {
     relay::Transport& transport;
     relay::AnswerSink& answers;
-    std::function<std::string(DestinationId)> destination_name;  // its name
+    std::function<std::string(DestinationId)> destination_name;
     // Returns the record's number; 0: the log accepts no more records.
     std::function<Sequence(std::string bytes)> append;
     std::function<void(Sequence upto)> release;  // records up to `upto` are no longer needed
@@ -81,7 +81,8 @@
   // order. Otherwise the log of a relay that is restarted again and again would grow by a window at each
   // start.
   void count_existing_record(Sequence sequence, std::size_t bytes);
-  // Writes the Base of this run. To be called once, after found() and before any other record.
+  // Writes the Base of this run. To be called once, after all calls of count_existing_record()
+  // and before any other record is written.
   void write_base(const record::Base& base, Time now);
   // All records up to this one are durable. Runs what waited for them.
   void mark_durable(Sequence upto);
@@ -126,8 +127,8 @@
 
   // The current state. Still updated after the journal has failed, so requests can be answered from it.
   const StateImage& image() const { return image_; }
-  std::uint64_t bytes_written() const { return bytes_written_; }  // bytes, including records that were found
-  // relay::Witness
+  std::uint64_t bytes_written() const { return bytes_written_; }  // including the records of earlier runs
+  // relay::CoreObserver
   void at(Time now) override { now_ = std::max(now_, now); }
   void taken(MessageId id, const std::shared_ptr<const relay::NewMessage>& message, Time deadline) override;
   void ended(const relay::OutgoingCall& call, const relay::CallResult& ending) override;
@@ -141,7 +142,7 @@
   std::vector<relay::CallId> recall(const EndpointId& endpoint) override;
   void close_idle(const EndpointId& endpoint) override { ports_.transport.close_idle(endpoint); }
   void probe(const EndpointId& endpoint) override { ports_.transport.probe(endpoint); }
-  // relay::Answers
+  // relay::AnswerSink
   void served(MessageId id, const relay::CallResult& ending) override;
   void refused(MessageId id, Time come_back, const relay::AttemptSummary& account) override;
   void failed(MessageId id, const relay::AttemptSummary& account) override;
@@ -153,7 +154,7 @@
       notification,
       call,
       release
-    } kind = Kind::notification;  // word: an answer or acknowledgement
+    } kind = Kind::notification;  // notification: an answer or acknowledgement
     relay::CallId call = 0;
     std::function<void()> run;
     Time deadline = 0;  // deadline of the message, for an answer; 0: none
@@ -179,8 +180,8 @@
       held_back_calls_;                                        // calls in `waiting_`
   std::map<relay::CallId, EndpointId> endpoint_by_call_;       // of those calls
   std::set<MessageId> answers_to_keep_;                        // their answers are kept
-  std::deque<std::pair<Sequence, std::uint64_t>> byte_marks_;  // samples of `written_` by record
-  std::uint64_t bytes_written_ = 0;                            // bytes
+  std::deque<std::pair<Sequence, std::uint64_t>> byte_marks_;  // samples of `bytes_written_` by record
+  std::uint64_t bytes_written_ = 0;
   Sequence durable_ = 0, released_ = 0, last_sequence_ = 0;
   Sequence rewrite_before_ = 0;  // when low on space: items that need earlier records are rewritten
   std::string failure_reason_;
--- a/src/journal/recovery.cpp
+++ b/src/journal/recovery.cpp
@@ -29,18 +29,18 @@
   return b;
 }
 
-Recovered recover(const StateImage& image, Time now, const NameResolver& places) {
+Recovered recover(const StateImage& image, Time now, const NameResolver& resolver) {
   Recovered r;
   for (const auto& [id, held] : image.held()) {
-    const auto cls = places.message_class(held.state.message_class);
+    const auto cls = resolver.message_class(held.state.message_class);
     if (!cls) {
       r.without_class.push_back(id);
       continue;
     }
     auto message = std::make_shared<relay::NewMessage>(*held.state.message);
-    message->destination = places.destination(held.state.destination);
+    message->destination = resolver.destination(held.state.destination);
     message->message_class = *cls;
-    message->tenant = held.state.tenant.empty() ? -1 : places.tenant(held.state.tenant).value_or(-1);
+    message->tenant = held.state.tenant.empty() ? -1 : resolver.tenant(held.state.tenant).value_or(-1);
     message->time_left = std::max<Time>(0, held.state.deadline - now);
     r.messages.push_back({id, std::move(message), held.state.deadline, prior_attempts_of(held.state)});
   }
--- a/src/journal/recovery.hpp
+++ b/src/journal/recovery.hpp
@@ -40,11 +40,11 @@
     relay::PriorAttempts prior_attempts;
   };
   std::vector<Message> messages;  // the core and module decide about them, also those past their deadline
-  std::vector<MessageId>
-      without_class;  // their class is no longer in the settings: see Keeper::end_classless()
+  // Their class is no longer in the settings: see JournalCoordinator::end_message_without_class().
+  std::vector<MessageId> without_class;
   std::vector<event::Known> known_endpoints;  // endpoint facts, to be passed on before the messages
 };
 // What the new run takes over at the time `now`.
-Recovered recover(const StateImage& image, Time now, const NameResolver& places);
+Recovered recover(const StateImage& image, Time now, const NameResolver& resolver);
 
 }  // namespace cedarplank::journal
--- a/src/journal/state_image.cpp
+++ b/src/journal/state_image.cpp
@@ -47,7 +47,7 @@
     for (auto& [id, h] : health_) h.first.since += r.shift;
   }
   base_ = r, last_record_time_ = at;
-  // The shift has been applied; a rewritten Base must not apply it again (see carried()).
+  // The shift has been applied; a rewritten Base must not apply it again (see oldest_item_record()).
   base_.shift = 0;
   next_id_ = std::max(next_id_, r.next_id);
   set_needed_record(base_needed_from_, s, {Kind::base, 0, {}});
--- a/src/journal/state_image.hpp
+++ b/src/journal/state_image.hpp
@@ -66,7 +66,7 @@
   // The oldest record that is still needed; 0: none.
   Sequence oldest_needed() const { return items_by_record_.empty() ? 0 : items_by_record_.begin()->first; }
   // The item of the oldest needed record, complete in one new record. Once that is written and applied, the
-  // item depends on the new record only. Needs oldest() != 0.
+  // item depends on the new record only. Needs oldest_needed() != 0.
   Record oldest_item_record(Time now) const;
   // The kept answer that expires first, if its time is up or the answers exceed a limit; 0: none.
   MessageId find_expired_answer(Time now, std::size_t answers_max, std::size_t bytes_max) const;
@@ -84,7 +84,6 @@
   void set_needed_record(Sequence& current, Sequence sequence, Item item);
   void drop_held(MessageId id);
   void drop_answer(MessageId id);
-  // Adds a delivered answer.
   void add_delivered(Sequence s, const record::Answered& answer);
   void drop_delivered(MessageId id);
   void on(Sequence s, Time at, const record::Base& r);
--- a/src/loop/timers.hpp
+++ b/src/loop/timers.hpp
@@ -241,7 +241,7 @@
   std::array<std::uint32_t, kLevels * kSlots> slot_heads_{};
   std::array<std::uint64_t, kLevels> occupied_{};       // a bit for each occupied slot
   std::uint32_t free_head_ = kNone, due_head_ = kNone;  // heads of the lists of free nodes and of due timers
-  std::uint64_t current_tick_ = 0;                      // the current tick
+  std::uint64_t current_tick_ = 0;
   std::size_t size_ = 0;
 };
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -82,8 +82,8 @@
   const config::SmppEndpointSettings* smpp_settings_of(int kind) const;
   // The only place where a partner's protocol is chosen, by its kind.
   std::unique_ptr<back::Link> connect(const config::PartnerEndpoint& endpoint, pool::LinkId link);
-  void write_trace(trace::MessageTrace&& story);  // writes a message trace to the trace file
-  void flush_traces();                            // each second: flushes the trace file, logs lost traces
+  void write_trace(trace::MessageTrace&& message_trace);  // to the trace file
+  void flush_traces();   // each second: flushes the trace file, logs lost traces
   void schedule_turn();  // schedules a turn of the core for the end of the loop's turn
   void turn();           // lets the core do what is due
   void rearm();          // sets the timer for the core's next due time
--- a/src/node/partner_list_file.hpp
+++ b/src/node/partner_list_file.hpp
@@ -37,8 +37,8 @@
     bool operator==(const Stamp&) const = default;
   };
   static Stamp stamp_of(const std::string& file);
-  void tick();                                        // on the timer: reads the file if it has changed
-  void write_cache(const config::PartnerList& list);  // writes the cache file
+  void tick();  // on the timer: reads the file if it has changed
+  void write_cache(const config::PartnerList& list);
 
   loop::Loop& loop_;
   const config::RelaySettings& settings_;
--- a/src/platform/attempt_log.hpp
+++ b/src/platform/attempt_log.hpp
@@ -33,7 +33,7 @@
   }
   void close_idle(const EndpointId& endpoint) override { coordinator_.close_idle(endpoint); }
   void probe(const EndpointId& endpoint) override { coordinator_.probe(endpoint); }
-  // relay::Witness
+  // relay::CoreObserver
   void at(Time now) override { coordinator_.at(now); }
   void taken(MessageId id, const std::shared_ptr<const relay::NewMessage>& message, Time deadline) override {
     coordinator_.taken(id, message, deadline);
--- a/src/platform/client_connections.hpp
+++ b/src/platform/client_connections.hpp
@@ -64,7 +64,7 @@
     bool has_submitted = false;  // a message of this connection was accepted
     bool sends_no_more = false;  // ended its sending, may still read
     bool closing = false;        // closing after the last answer; nothing more is read
-    bool continue_sent = false;  // "100 Continue" was sent
+    bool continue_sent = false;
     Time since = 0;  // when it connected, got its last answer, or sent the first byte of the current request
   };
   using ConnectionPtr = std::shared_ptr<Connection>;
--- a/src/platform/discovery.cpp
+++ b/src/platform/discovery.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 // By the platform's protocol a relay counts as informed of a change 6 s after discovery could have answered
-// with it, whatever became of the calls. So when a watch falls silent right after an answer, the relay has to
-// notice, ask again and be answered within that time: wait, answer, the dispatcher's first pause (0.6 s) and
-// another answer. Shorter waits would cost discovery more calls: each relay makes one call per wait.
+// with it, whatever became of the calls. So when a watch gets no more answers right after one, the relay has
+// to notice, ask again and be answered within that time: wait, answer, the dispatcher's first pause (0.6 s)
+// and another answer. Shorter waits would cost discovery more calls: each relay makes one call per wait.
 constexpr Time kWatchWait = 2'200'000;
 // In addition to the wait: discovery only has to write its answer.
 constexpr Time kWatchAnswerTimeout = 1'200'000;
--- a/src/platform/endpoint_transport.hpp
+++ b/src/platform/endpoint_transport.hpp
@@ -58,13 +58,13 @@
   void probe(const EndpointId&) override {}  // the platform's protocol has no probes
 
  private:
-  struct Connection {  // a connection
+  struct Connection {
     std::uint64_t number = 0;
     EndpointId endpoint;
     std::string address;
     std::unique_ptr<net::TcpStream> stream;
     http1::Parser reader{http1::Parser::Side::responses};
-    bool connected = false;                    // connected
+    bool connected = false;
     bool writing_started = false;              // bytes of the call have been written
     std::uint64_t end_offset = 0;              // offset in the stream at which the call ends, once begun
     char last_byte = 0;                        // of the call: sent a moment after the other bytes
--- a/src/platform/notice_sender.hpp
+++ b/src/platform/notice_sender.hpp
@@ -34,7 +34,6 @@
   };
   void post();
   void handle_answer(const http1::Message* answer, const std::string& why);
-  // Schedules the next post.
   void schedule_post(Time after);
 
   loop::Loop& loop_;
--- a/src/platform/relay.cpp
+++ b/src/platform/relay.cpp
@@ -265,8 +265,8 @@
   const auto left = requests_.remove_waiter(client, reading);
   if (!left) return;
   attempt_log_->forget(left->id);
-  const auto fate = core_->withdraw(loop_.refresh_now(), left->id);
-  const bool unrun = fate == relay::FinalAnswer::refuse;
+  const auto final_answer = core_->withdraw(loop_.refresh_now(), left->id);
+  const bool unrun = final_answer == relay::FinalAnswer::refuse;
   log_.line(Event::withdrawn, left->name,
             [&] { return std::string(unrun ? "nothing has run" : "an attempt may have run"); });
   // A message that was reported as ended, or that may have run, is remembered: a later copy of it is not a
@@ -274,7 +274,7 @@
   if (!unrun || !left->still_reading.empty())
     requests_.remember(loop_.now(), left->name, left->fingerprint,
                        unrun ? RequestState::returned : RequestState::failed);
-  for (const auto reader : left->still_reading) cancelled_requests_.push_back({reader, fate});
+  for (const auto reader : left->still_reading) cancelled_requests_.push_back({reader, final_answer});
   schedule_turn();
 }
 
--- a/src/platform/relay.hpp
+++ b/src/platform/relay.hpp
@@ -92,7 +92,7 @@
   Time unix_to_monotonic() const;
   // Records a message's final state in the registry and returns its name and waiting clients.
   RequestRegistry::EndedRequest record_end(MessageId id, RequestState how, Time come_back = 0);
-  // relay::Answers
+  // relay::AnswerSink
   void served(MessageId id, const relay::CallResult& ending) override;
   void refused(MessageId id, Time come_back, const relay::AttemptSummary& account) override;
   void failed(MessageId id, const relay::AttemptSummary& account) override;
--- a/src/relay/core.hpp
+++ b/src/relay/core.hpp
@@ -156,7 +156,7 @@
 };
 
 // Observer of everything that a relay must know again after a crash, in the order in which it happens. Sends
-// and final answers are not reported here; they pass through Transport and Answers.
+// and final answers are not reported here; they pass through Transport and AnswerSink.
 class CoreObserver {
  public:
   virtual ~CoreObserver() = default;
--- a/src/relay/relay_assembly.hpp
+++ b/src/relay/relay_assembly.hpp
@@ -1,5 +1,5 @@
 // One relay without its I/O: admission control, core and trace recorder, assembled in the same way for
-// sockets (node::Node) and for simulation in virtual time (lab::World).
+// sockets (node::Node) and for simulation in virtual time (lab::Simulation).
 //
 // All times are in microseconds of one monotonic clock that the host passes in.
 #pragma once
--- a/src/smpp/pdu.hpp
+++ b/src/smpp/pdu.hpp
@@ -213,7 +213,7 @@
 // bound or the body is not of that command, both of which are errors of the caller.
 void encode(const Pdu& pdu, std::string& out);
 
-struct DecodeError {           // a decoding error
+struct DecodeError {
   Status status = status::ok;  // the status to answer with
   std::string what;            // description; names the field
 };
--- a/src/smpp/session.hpp
+++ b/src/smpp/session.hpp
@@ -105,9 +105,9 @@
   void set_next_sequence(std::uint32_t next) { next_sequence_ = next; }
 
  private:
-  struct OutstandingRequest {  // an own request that is outstanding
+  struct OutstandingRequest {
     Command command{};
-    Time expires_at = 0;  // expires then
+    Time expires_at = 0;
     bool abandoned = false;
   };
   std::uint32_t next_sequence();
--- a/src/smpp/text.hpp
+++ b/src/smpp/text.hpp
@@ -71,7 +71,7 @@
   std::size_t bytes() const { return bytes_; }
 
  private:
-  struct IncompleteMessage {  // an incomplete message
+  struct IncompleteMessage {
     std::string from;
     std::uint16_t reference = 0;
     int received = 0;  // parts received
--- a/src/sms/bind_link.cpp
+++ b/src/sms/bind_link.cpp
@@ -88,7 +88,7 @@
   on_events(events);
 }
 
-// No request is queued behind bytes that the endpoint has not read yet: it could no longer be withdrawn.
+// No request is queued behind bytes that the endpoint has not read yet: it could no longer be cancelled.
 bool BindLink::can_send() const { return session_.can_request() && stream_->queued() == stream_->flushed(); }
 
 std::optional<back::Link::Capacity> BindLink::room() {
--- a/src/sms/bind_rate_limiter.hpp
+++ b/src/sms/bind_rate_limiter.hpp
@@ -38,7 +38,7 @@
   struct Entry {
     std::string key;
     int failures = 0, delays = 0;  // failures since the last delay; delays since the last quiet period
-    Time blocked_until = 0, last_failure_at = 0;  // blocked until; time of the latest failure
+    Time blocked_until = 0, last_failure_at = 0;
   };
   // The entry of this key as the most recently used one; creates it where there is none.
   Entry& touch(const std::string& key);
--- a/src/sms/receipt_queue.cpp
+++ b/src/sms/receipt_queue.cpp
@@ -27,13 +27,13 @@
                                                                                  const std::string& client) {
   const auto it = waiting_by_client_.find(client);
   if (it == waiting_by_client_.end() || it->second.front().not_before > now) return std::nullopt;
-  WaitingReceipt owed = std::move(it->second.front());
+  WaitingReceipt entry = std::move(it->second.front());
   it->second.pop_front();
   if (it->second.empty()) waiting_by_client_.erase(it);
   waiting_--;
   const Number number = next_number_++;
-  auto receipt = owed.receipt;
-  outstanding_[number] = {client, std::move(owed)};
+  auto receipt = entry.receipt;
+  outstanding_[number] = {client, std::move(entry)};
   return std::pair(number, std::move(receipt));
 }
 
--- a/src/sms/semantics.hpp
+++ b/src/sms/semantics.hpp
@@ -38,7 +38,7 @@
 // The outcome of a response to one submit_sm.
 relay::CallResult result_of_response(const smpp::Pdu& response, const config::SmppEndpointSettings& kind);
 // The outcome of a message from the outcomes of its parts; `sent_all`: no part was left unsent. Accepted
-// parts cannot be withdrawn, so a refused part among accepted ones leaves the outcome in doubt.
+// parts cannot be cancelled, so a refused part among accepted ones leaves the outcome in doubt.
 relay::CallResult result_of_parts(const std::vector<relay::CallResult>& parts, bool sent_all);
 
 // Why a message can never be sent to an endpoint of this kind, whatever the endpoint's state; null: it can.
--- a/src/sms/smpp_server.cpp
+++ b/src/sms/smpp_server.cpp
@@ -329,7 +329,7 @@
     return {status_of(*rejection), "", 0};
   if (!decode_content(taken.text, m.data_coding)) return {st::submit_failed, "", 0};
   s.id = id.empty() ? next_id() : id;
-  // Holds the data_coding until the text is complete; take() replaces it with the content type.
+  // Holds the data_coding until the text is complete; submit_to_relay() replaces it with the content type.
   s.request.content_type.assign(1, static_cast<char>(m.data_coding));
   if (!taken.part || taken.part->total == 1) {
     s.request.body = std::move(taken.text);
--- a/src/sms/smpp_server.hpp
+++ b/src/sms/smpp_server.hpp
@@ -25,21 +25,20 @@
  public:
   // What the server needs from the relay.
   struct Host {
-    std::function<std::optional<DestinationId>(const std::string&)>
-        find_destination;  // finds one by its name
+    std::function<std::optional<DestinationId>(const std::string&)> find_destination;  // by its name
     // Submits a message. `named` is called with the message's id before any final answer can arrive.
     std::function<relay::AcceptResult(relay::NewMessage, const std::function<void(MessageId)>& named)> accept;
-    std::function<void(MessageId)> withdraw;  // cancels a message
+    std::function<void(MessageId)> withdraw;
     std::function<int()>
         max_open_messages;  // messages that one client may have open now, as admission control sets it
-    std::function<Time()> wall_clock;  // wall clock, us since 1970
+    std::function<Time()> wall_clock;  // us since 1970
     std::function<void(const std::string&)> log;
     relay::MessageRegistry* message_registry =
         nullptr;  // null: the relay keeps no record of answered messages
   };
-  // Restores a message that an earlier run accepted. restore(): the relay still holds it. owed(): it has its
-  // final answer, but the receipt was not delivered yet. Both return false where the ownership record is not
-  // one of this server.
+  // Restores a message that an earlier run accepted. restore_message(): the relay still holds it.
+  // restore_receipt(): it has its final answer, but the receipt was not delivered yet. Both return false
+  // where the ownership record is not one of this server.
   bool restore_message(MessageId id, const std::string& owner);
   bool restore_receipt(MessageId id, const std::string& owner, Receipt::State state, Time come_back);
   // Throws where the listener cannot be opened. The settings must have an `smpp` section.
@@ -61,7 +60,7 @@
 
  private:
   using ClientId = std::uint64_t;
-  struct Client {  // one connection
+  struct Client {
     ClientId id = 0;
     std::string peer_address;                      // peer address, without the port
     const config::SmppClient* settings = nullptr;  // the client's settings, once it is bound
@@ -138,7 +137,7 @@
   std::uint64_t next_message_ = 1;
   std::string run_id_;  // part of message ids; makes those of this run differ from those of earlier runs
   bool stopping_ = false, send_receipts_due_ = false;
-  std::uint64_t rejected_binds_ = 0;  // rejected binds
+  std::uint64_t rejected_binds_ = 0;
   loop::TimerId stall_check_timer_ = 0, due_timer_ = 0, receipt_retry_timer_ = 0;
   // False once the server is destroyed; deferred callbacks share it.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/sms/submissions.hpp
+++ b/src/sms/submissions.hpp
@@ -88,7 +88,6 @@
     Time wall = 0;  // when it ended, us since 1970; 0: not yet
   };
   std::optional<State> state(const std::string& client, const std::string& id) const;
-  // Records a final state.
   void record_final_state(const std::string& client, const std::string& id, std::uint8_t state, Time wall);
 
   std::size_t held() const { return accepted_.size() + scheduled_.size() + incomplete_.size(); }
@@ -118,7 +117,7 @@
   std::set<std::pair<Time, Key>> scheduled_due_;
   std::uint64_t next_number_ = 1;
   std::map<MessageId, Submission> accepted_;                           // held by the relay
-  std::map<std::uint64_t, std::size_t> by_connection_;                 // number of messages in relay_
+  std::map<std::uint64_t, std::size_t> by_connection_;                 // number of messages in accepted_
   std::multimap<std::string, MessageId> accepted_by_id_;               // the relay's ids of a message id
   std::map<std::string, std::pair<std::string, State>> final_states_;  // by id: client and state
   std::deque<std::string> final_states_order_;                         // oldest first
--- a/src/store/files.hpp
+++ b/src/store/files.hpp
@@ -39,7 +39,7 @@
 // Opens a folder of the file system, creates it if it is missing and asked for, and locks it for this process
 // while the object lives. Throws std::system_error that names the folder;
 // std::errc::resource_unavailable_try_again if another process holds the lock.
-enum class FolderMode { create_if_missing, must_exist };  // made: created if missing
+enum class FolderMode { create_if_missing, must_exist };
 std::unique_ptr<Files> open_folder(const std::string& path, FolderMode how = FolderMode::create_if_missing);
 
 }  // namespace cedarplank::store
--- a/src/store/log.hpp
+++ b/src/store/log.hpp
@@ -132,8 +132,9 @@
   std::uint64_t next_spare_number_ = 0;   // for the name of the next one
   std::unique_ptr<File> file_;            // of the last segment
   std::uint64_t write_offset_ = 0;        // offset of the next record in it
-  std::size_t torn_tail_size_ = 0;        // bytes of an unfinished commit after `at_` that are to be cleared
-  std::string pending_;                   // records with their headers, not written yet
+  // Bytes of an unfinished commit after `write_offset_` that are to be cleared.
+  std::size_t torn_tail_size_ = 0;
+  std::string pending_;  // records with their headers, not written yet
   std::deque<std::size_t> pending_sizes_;
   Sequence next_ = 1, written_ = 0, durable_ = 0;
   bool failed_ = false, unsynced_ = false;
--- a/src/store/writer.hpp
+++ b/src/store/writer.hpp
@@ -58,7 +58,7 @@
 
   Sequence durable() const { return durable_; }
   State state() const { return state_; }
-  std::string problem() const;  // why the state isn't `well`
+  std::string problem() const;  // why the state isn't `healthy`
   // Whether new messages should be accepted. Half of the segment limit is kept for records of messages
   // already accepted.
   bool has_room() const;
@@ -83,10 +83,10 @@
   // Guarded by mutex_:
   std::vector<std::string> queue_;
   std::size_t queue_bytes_ = 0,
-              committing_bytes_ = 0;  // in_hand_: bytes taken from the queue and being committed
+              committing_bytes_ = 0;  // bytes taken from the queue and being committed
   Sequence pending_release_ = 0;
   std::string problem_;
-  bool stopping_ = false, notification_posted_ = false;  // told_: a notification is posted
+  bool stopping_ = false, notification_posted_ = false;
 
   Sequence next_ = 1;
   std::atomic<Sequence> durable_{0};
--- a/src/trace/json.hpp
+++ b/src/trace/json.hpp
@@ -9,7 +9,7 @@
 
 namespace cedarplank::trace {
 
-std::string to_json(const MessageTrace& story);
+std::string to_json(const MessageTrace& message_trace);
 // Throws std::runtime_error that says what is wrong. Unknown members are ignored, so that older programs can
 // read what newer ones write.
 MessageTrace from_json(std::string_view line);
--- a/src/trace/message_trace.cpp
+++ b/src/trace/message_trace.cpp
@@ -16,19 +16,19 @@
   return kNames[static_cast<std::size_t>(v)];
 }
 
-TimeBreakdown time_breakdown(const MessageTrace& story) {
+TimeBreakdown time_breakdown(const MessageTrace& message_trace) {
   TimeBreakdown parts;
-  parts.approximate = story.elided > 0;
+  parts.approximate = message_trace.elided > 0;
   std::map<int, bool> under_way;  // by attempt: whether it has been sent on a connection
-  Time last = story.accepted_at;
+  Time last = message_trace.accepted_at;
   const auto add_time = [&](Time until) {
     bool waiting = false, out = false;
     for (const auto& [attempt, left] : under_way) (left ? out : waiting) = true;
     (out ? parts.endpoint : waiting ? parts.connection : parts.held) += until - last;
     last = until;
   };
-  for (const auto& s : story.steps) {
-    if (s.at > story.ended_at) break;
+  for (const auto& s : message_trace.steps) {
+    if (s.at > message_trace.ended_at) break;
     add_time(s.at);
     if (s.what == Step::What::send)
       under_way[s.attempt] = false;
@@ -37,7 +37,7 @@
     else if (s.what == Step::What::ended)
       under_way.erase(s.attempt);
   }
-  add_time(std::max(last, story.ended_at));
+  add_time(std::max(last, message_trace.ended_at));
   return parts;
 }
 
--- a/src/trace/message_trace.hpp
+++ b/src/trace/message_trace.hpp
@@ -70,6 +70,6 @@
   Time endpoint = 0;         // at least one attempt had been sent
   bool approximate = false;  // some steps were left out, so the parts are approximate
 };
-TimeBreakdown time_breakdown(const MessageTrace& story);
+TimeBreakdown time_breakdown(const MessageTrace& message_trace);
 
 }  // namespace cedarplank::trace
--- a/src/trace/recorder.cpp
+++ b/src/trace/recorder.cpp
@@ -145,9 +145,9 @@
 void Recorder::close(Time now, MessageId id) {
   const auto it = open_traces_.find(id);
   if (it == open_traces_.end()) return;
-  MessageTrace story = std::move(it->second.message_trace);
+  MessageTrace message_trace = std::move(it->second.message_trace);
   erase_trace(it);
-  keep_or_discard(now, std::move(story));
+  keep_or_discard(now, std::move(message_trace));
 }
 
 void Recorder::record_rejection(Time now, MessageId id, MessageInfo head, const char* why) {
--- a/src/trace/recorder.hpp
+++ b/src/trace/recorder.hpp
@@ -37,7 +37,7 @@
   void set_rate(double per_second) { rate_ = per_second; }
 
  private:
-  struct Bucket {  // a token bucket
+  struct Bucket {
     double tokens = 0;
     Time at = 0;
   };
@@ -81,8 +81,8 @@
     std::uint64_t over_rate_limit = 0;       // worth keeping, but over the rate limit
   };
   const Counts& counts() const { return counts_; }
-  std::size_t bytes() const { return bytes_; }                     // memory of the open traces
-  std::size_t open_traces() const { return open_traces_.size(); }  // number of open traces
+  std::size_t bytes() const { return bytes_; }  // memory of the open traces
+  std::size_t open_traces() const { return open_traces_.size(); }
 
  private:
   struct OpenTrace {
@@ -98,7 +98,7 @@
   void add(OpenTrace& live, Step&& step);
   void erase_trace(OpenTraces::iterator it);
   void keep_or_discard(Time now,
-                       MessageTrace&& story);  // passes the trace to the sink if it is worth keeping
+                       MessageTrace&& message_trace);  // passes the trace to the sink if it is worth keeping
   void mark_trouble(MessageId id, OpenTrace& live);
 
   Settings settings_;
--- a/src/trace/report.cpp
+++ b/src/trace/report.cpp
@@ -96,8 +96,8 @@
   return !name.empty() && (s.message == name || s.key == name);
 }
 
-void sort_by_wall_time(std::vector<MessageTrace>& stories) {
-  std::stable_sort(stories.begin(), stories.end(),
+void sort_by_wall_time(std::vector<MessageTrace>& traces) {
+  std::stable_sort(traces.begin(), traces.end(),
                    [](const MessageTrace& a, const MessageTrace& b) { return a.wall < b.wall; });
 }
 
--- a/src/trace/report.hpp
+++ b/src/trace/report.hpp
@@ -21,7 +21,7 @@
 // Whether `name` is the message's id at the relay or the client's idempotency key.
 bool matches_name(const MessageTrace& s, const std::string& name);
 // Sorts by the time at which the messages were accepted. Relays on one host share the clock of these times.
-void sort_by_wall_time(std::vector<MessageTrace>& stories);
+void sort_by_wall_time(std::vector<MessageTrace>& traces);
 
 // A trace as text for people, a line for each step.
 std::string format_trace(const MessageTrace& s);
--- a/src/trace/trace_file.cpp
+++ b/src/trace/trace_file.cpp
@@ -43,8 +43,8 @@
   thread_pool_.reset();  // writes what is queued, then stops its thread
 }
 
-void TraceFile::write(const MessageTrace& story) {
-  const std::string line = to_json(story);
+void TraceFile::write(const MessageTrace& message_trace) {
+  const std::string line = to_json(message_trace);
   logger_->log(spdlog::level::info, spdlog::string_view_t(line.data(), line.size()));
 }
 
--- a/src/trace/trace_file.hpp
+++ b/src/trace/trace_file.hpp
@@ -32,11 +32,11 @@
   // Throws std::runtime_error naming the file if it can't be opened.
   explicit TraceFile(const Options& options);
   ~TraceFile();  // waits until everything queued is written
-  void write(const MessageTrace& story);
+  void write(const MessageTrace& message_trace);
   // Asks the writer thread to flush the traces queued so far; does not wait for it.
   void flush();
-  std::uint64_t lost_traces() const;   // traces overwritten in a full queue
-  std::uint64_t write_errors() const;  // failed writes
+  std::uint64_t lost_traces() const;  // traces overwritten in a full queue
+  std::uint64_t write_errors() const;
   std::string last_error() const;
 
  private:
