--- a/app/journal.cpp
+++ b/app/journal.cpp
@@ -106,8 +106,8 @@
   return records;
 }
 
-// Writes all readable records to a new journal; `apply` puts it in the place of the damaged one, which is
-// kept.
+// Writes all readable records to a new journal; `apply` moves it to the damaged one's path, and
+// the damaged one is kept beside it.
 int repair(const std::string& folder, bool apply) {
   const std::string mended = folder + ".mended", damaged = folder + ".damaged";
   for (const auto& path : {mended, damaged})
--- a/app/trace.cpp
+++ b/app/trace.cpp
@@ -27,8 +27,8 @@
 }
 
 int run_trace(const Query& w) {
-  std::deque<trace::MessageTrace>
-      found;  // only the last ones, so that memory stays bounded however long the files are
+  // Only the last ones, so that memory stays bounded however long the files are.
+  std::deque<trace::MessageTrace> found;
   std::size_t matches = 0;
   trace::TraceSummary account;
   const auto read = trace::read_traces(w.files, [&](trace::MessageTrace&& s) {
@@ -52,12 +52,12 @@
     std::fputs(account.format_table().c_str(), stdout);
     return ExitCode::ok;
   }
-  std::vector<trace::MessageTrace> stories(found.begin(), found.end());
-  trace::sort_by_wall_time(stories);
-  for (const auto& s : stories) std::puts((w.json ? trace::to_json(s) : trace::format_trace(s)).c_str());
-  if (matches > stories.size())
+  std::vector<trace::MessageTrace> traces(found.begin(), found.end());
+  trace::sort_by_wall_time(traces);
+  for (const auto& s : traces) std::puts((w.json ? trace::to_json(s) : trace::format_trace(s)).c_str());
+  if (matches > traces.size())
     std::fprintf(stderr, "trace: showing the last %zu of %zu matching stories; --most shows more\n",
-                 stories.size(), matches);
+                 traces.size(), matches);
   return ExitCode::ok;
 }
 
--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -94,25 +94,25 @@
   settings.classes.resize(1);
   settings.classes[0].effect = Effect::unsafe, settings.class_names = {"pay"};
   settings.answers_max = 10'000;
-  JournalCoordinator keeper(settings, {},
-                            {.transport = null_transport,
-                             .answers = null_transport,
-                             .destination_name = [](DestinationId) { return std::string("bank"); },
-                             .append = [&](std::string r) { return bytes += r.size(), next++; },
-                             .release = [](Sequence) {},
-                             .call_dropped = {}});
-  keeper.write_base({"boot", 1, 1, 1, 0, 1}, 1);
+  JournalCoordinator coordinator(settings, {},
+                                 {.transport = null_transport,
+                                  .answers = null_transport,
+                                  .destination_name = [](DestinationId) { return std::string("bank"); },
+                                  .append = [&](std::string r) { return bytes += r.size(), next++; },
+                                  .release = [](Sequence) {},
+                                  .call_dropped = {}});
+  coordinator.write_base({"boot", 1, 1, 1, 0, 1}, 1);
   MessageId id = 0;
   for (auto _ : state) {
     const auto m = message(++id);
-    keeper.at(static_cast<Time>(id));
-    keeper.taken(id, m, static_cast<Time>(id) + 10'000'000);
-    keeper.send({id, "bank-1", id, 0, 10'000'000, m});
-    keeper.mark_durable(next - 1);
-    keeper.ended({id, "bank-1", id, 0, 0, nullptr}, {});
-    keeper.served(id, {});
-    keeper.mark_durable(next - 1);
-    if (id % 500 == 0) keeper.compact(static_cast<Time>(id), 1'000);
+    coordinator.at(static_cast<Time>(id));
+    coordinator.taken(id, m, static_cast<Time>(id) + 10'000'000);
+    coordinator.send({id, "bank-1", id, 0, 10'000'000, m});
+    coordinator.mark_durable(next - 1);
+    coordinator.ended({id, "bank-1", id, 0, 0, nullptr}, {});
+    coordinator.served(id, {});
+    coordinator.mark_durable(next - 1);
+    if (id % 500 == 0) coordinator.compact(static_cast<Time>(id), 1'000);
   }
   state.counters["bytes_a_message"] = static_cast<double>(bytes) / static_cast<double>(id);
 }
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -38,7 +38,7 @@
     require(!log_.open([](Sequence, std::string_view) {}).problem, "log");
   }
   void commit(int records) {
-    for (int i = 0; i < records; i++) require(log_.append(kRecord) == Log::Appended::yes, "append");
+    for (int i = 0; i < records; i++) require(log_.append(kRecord) == Log::AppendResult::appended, "append");
     require(!log_.commit(), "commit");
     require(!log_.release(log_.durable() > 10'000 ? log_.durable() - 10'000 : 0), "release");
   }
@@ -149,7 +149,7 @@
     Log log(*files, s, 42);
     log.open([](Sequence, std::string_view) {});
     for (int i = 0; i < state.range(0); i++) {
-      require(log.append(kRecord) == Log::Appended::yes, "append");
+      require(log.append(kRecord) == Log::AppendResult::appended, "append");
       if (i % 10'000 == 9'999) require(!log.commit(), "commit");
     }
     require(!log.commit(), "commit");
--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -54,13 +54,13 @@
 BENCHMARK(is_short)->Arg(10'000)->Arg(100'000);
 
 void as_a_line(benchmark::State& state) {
-  trace::MessageTrace story;
+  trace::MessageTrace message_trace;
   Recorder r({.sample = 1, .max_traces_per_second = 1e9}, 1,
-             [&](trace::MessageTrace&& s) { story = std::move(s); });
+             [&](trace::MessageTrace&& s) { message_trace = std::move(s); });
   r.begin(0, 1, head());
   steps(r, 1, 0);
   std::size_t bytes = 0;
-  for (auto _ : state) bytes = trace::to_json(story).size();
+  for (auto _ : state) bytes = trace::to_json(message_trace).size();
   state.counters["bytes"] = static_cast<double>(bytes);
 }
 BENCHMARK(as_a_line);
--- a/emulator/capacity.hpp
+++ b/emulator/capacity.hpp
@@ -34,7 +34,7 @@
   std::map<std::string, double> class_times;  // by class: factor on the service time
 };
 
-// What becomes of an arriving call: accepted, over the rate limit, no room in the queue, or overloaded.
+// What becomes of an arriving call: accepted, over the rate limit, queue full, or overloaded.
 enum class ArrivalResult { accepted, rate_limited, queue_full, overloaded };
 
 class CapacityModel {
@@ -72,7 +72,7 @@
   double tokens_ = 0;
   Time tokens_at_ = 0;
   double service_factor_ = 1;
-  std::optional<Time> outage_ended_at_;  // when the last outage ended
+  std::optional<Time> outage_ended_at_;
   bool in_outage_ = false;
   std::deque<Time> cold_arrivals_;  // arrivals while cold, within `overload_for`
   Time overloaded_until_ = 0;
--- a/emulator/partner.hpp
+++ b/emulator/partner.hpp
@@ -69,7 +69,7 @@
   std::vector<EndpointSettings> endpoints;
 };
 
-// An effect that took place.
+// An effect that occurred.
 struct Effect {
   Time at = 0;
   std::string endpoint, destination, message, key;
--- a/fuzz/http2_fuzz.cpp
+++ b/fuzz/http2_fuzz.cpp
@@ -30,8 +30,8 @@
     if (c.failed() && c.open_streams() != 0) std::abort();
   }
   c.take_output();
-  cedarplank::record::Http2WireCapture tap(cedarplank::record::CaptureRecord::Side::client, "p", 1,
-                                           !as_server, [](cedarplank::record::CaptureRecord&&) {});
-  tap.pass(1, false, bytes);
+  cedarplank::record::Http2WireCapture capture(cedarplank::record::CaptureRecord::Side::client, "p", 1,
+                                               !as_server, [](cedarplank::record::CaptureRecord&&) {});
+  capture.pass(1, false, bytes);
   return 0;
 }
--- a/fuzz/story_fuzz.cpp
+++ b/fuzz/story_fuzz.cpp
@@ -8,16 +8,16 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace cedarplank::trace;
-  MessageTrace story;
+  MessageTrace message_trace;
   try {
-    story = from_json({reinterpret_cast<const char*>(data), size});
+    message_trace = from_json({reinterpret_cast<const char*>(data), size});
   } catch (const std::runtime_error&) {
     return 0;
   }
-  format_trace(story);
-  const TimeBreakdown p = time_breakdown(story);
-  if (p.held + p.connection + p.endpoint < story.ended_at - story.accepted_at) std::abort();
-  const std::string line = to_json(story);
+  format_trace(message_trace);
+  const TimeBreakdown p = time_breakdown(message_trace);
+  if (p.held + p.connection + p.endpoint < message_trace.ended_at - message_trace.accepted_at) std::abort();
+  const std::string line = to_json(message_trace);
   if (to_json(from_json(line)) != line) std::abort();
   return 0;
 }
--- a/lab/baselines.hpp
+++ b/lab/baselines.hpp
@@ -15,8 +15,9 @@
   single_attempt,  // one attempt at a random endpoint
   fixed,           // further attempts after a fixed time
   exponential,     // after an exponential back-off with full jitter
-  token_bucket  // as exponential, but retries only while a token budget lasts; served attempts refill it (as
-                // gRPC's retry throttling does)
+  // As exponential, but retries only while a token budget lasts; served attempts refill it (as gRPC's retry
+  // throttling does).
+  token_bucket
 };
 // The policies by the names that the command line and the records use.
 const std::map<std::string, Policy>& policy_names();
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -117,15 +117,15 @@
         const auto scenario = draw_scenario(plan.day, cell.seed, cell.settings);
         SimulationOptions options;
         options.policy = policy_names().at(cell.policy), options.check_rules = plan.check_rules;
-        std::unique_ptr<trace::TraceFile> stories;
+        std::unique_ptr<trace::TraceFile> trace_file;
         if (!plan.trace_folder.empty()) {
           std::filesystem::create_directories(plan.trace_folder);
           const std::string file = plan.trace_folder + "/" + std::to_string(i + 1) + "-" + cell.policy + "-" +
                                    std::to_string(cell.seed) + ".jsonl";
           std::filesystem::remove(file);
-          stories = std::make_unique<trace::TraceFile>(
+          trace_file = std::make_unique<trace::TraceFile>(
               trace::TraceFile::Options{.path = file, .block_when_full = true});
-          options.trace_sink = [&stories](trace::MessageTrace&& s) { stories->write(s); };
+          options.trace_sink = [&trace_file](trace::MessageTrace&& s) { trace_file->write(s); };
         }
         RunResult ran = plan.run_on_sockets ? plan.run_on_sockets(scenario)
                                             : run_result_of(run_simulation(scenario, options));
--- a/lab/experiment.hpp
+++ b/lab/experiment.hpp
@@ -25,7 +25,7 @@
   };
   std::vector<Class> classes;
   std::vector<SimulationResult::Second> seconds;
-  std::vector<std::string> broken_rules;  // broken rules, one line for each case
+  std::vector<std::string> broken_rules;  // one line for each case
   std::string error;                      // why the run failed; empty: it did not
 };
 RunResult run_result_of(const SimulationResult& figures);
--- a/lab/scenario_draw.hpp
+++ b/lab/scenario_draw.hpp
@@ -1,5 +1,5 @@
-// Random scenarios, drawn from ranges by a seed. A day is a scenario (rig/scenario.hpp) in which any value
-// may be
+// Random scenarios, drawn from ranges by a seed. A day is a scenario (rig/scenario.hpp)
+// in which any value may be
 //   {draw: [low, high]}    a number, rate ("90/s"), size or duration ("2s") between the bounds, both included
 //   {pick: [a, b, ...]}    one of these values
 // and an item of a list may be {times: N, of: {...}}: N items, each drawn independently.
--- a/lab/simulated_endpoints.cpp
+++ b/lab/simulated_endpoints.cpp
@@ -1,4 +1,4 @@
-// The network and the endpoints of a simulation, and the stage on which the script of the scenario acts.
+// The network and the endpoints of a simulation, and the environment that the scenario's script acts on.
 #include <algorithm>
 #include <random>
 
@@ -15,11 +15,11 @@
   clock.after(one_way_delay(), [this, c] {
     if (c->incarnation != c->relay->incarnation()) return;
     SimulatedEndpoint& e = endpoints_.at(c->endpoint);
-    const auto door = e.stopped || e.vanished
-                          ? emulator::Partner::ConnectionDecision::no_listener
-                          : partner(e).decide_connection(c->endpoint, clock.now(), e.connections.size());
-    using Door = emulator::Partner::ConnectionDecision;
-    if (door == Door::no_listener || door == Door::reset || door == Door::garbage)
+    const auto decision = e.stopped || e.vanished
+                              ? emulator::Partner::ConnectionDecision::no_listener
+                              : partner(e).decide_connection(c->endpoint, clock.now(), e.connections.size());
+    using Decision = emulator::Partner::ConnectionDecision;
+    if (decision == Decision::no_listener || decision == Decision::reset || decision == Decision::garbage)
       return run_on_relay(c, [c](SimulatedRelay& r) { r.connection_lost(c, "refused"); });
     c->open_at_endpoint = true, c->number = next_connection_++, c->last_used = clock.now();
     e.connections.insert(c);
@@ -41,7 +41,7 @@
 
 void Simulation::call_arrived(const ConnectionRef& c, relay::CallId id,
                               const std::shared_ptr<const relay::NewMessage>& message) {
-  if (!c->open_at_endpoint) return;  // the relay is told of the loss separately
+  if (!c->open_at_endpoint) return;  // the relay is notified of the loss separately
   SimulatedEndpoint& e = endpoints_.at(c->endpoint);
   auto& p = partner(e);
   const Time now = clock.now();
@@ -188,7 +188,7 @@
   }
 }
 
-// ---- rig::Stage ----
+// ---- rig::ScenarioEnvironment ----
 
 void Simulation::fault_begins(const std::string& id, const emulator::FaultSettings& f) {
   SimulatedEndpoint& e = endpoints_.at(id);
--- a/lab/simulated_relay.cpp
+++ b/lab/simulated_relay.cpp
@@ -6,8 +6,8 @@
 
 namespace cedarplank::lab::day {
 
-SimulatedRelay::SimulatedRelay(Simulation& world, int rank)
-    : simulation_(world), rank_(rank), name_("relay-" + std::to_string(rank)) {
+SimulatedRelay::SimulatedRelay(Simulation& simulation, int rank)
+    : simulation_(simulation), rank_(rank), name_("relay-" + std::to_string(rank)) {
   settings_ = simulation_.settings();
   settings_.dispatcher.relays = simulation_.relays(), settings_.dispatcher.rank = rank;
   settings_.dispatcher.peers = true;  // as in runs on sockets, where each relay is configured with its peers
@@ -18,16 +18,17 @@
   registry_ = std::make_unique<relay::PartnerRegistry>();
   const std::uint64_t seed = simulation_.seed() * 1000 + static_cast<std::uint64_t>(rank_) + 1;
   settings_.seed = seed;
-  trace::Recorder::Sink story;
+  trace::Recorder::Sink trace_sink;
   if (simulation_.traces_enabled())
-    story = [this](trace::MessageTrace&& told) {
-      told.message = name_ + "-" + std::to_string(incarnation_) + "-" + std::to_string(told.id);
-      simulation_.write_trace(std::move(told));
+    trace_sink = [this](trace::MessageTrace&& message_trace) {
+      message_trace.message =
+          name_ + "-" + std::to_string(incarnation_) + "-" + std::to_string(message_trace.id);
+      simulation_.write_trace(std::move(message_trace));
     };
   driver_ = make_driver();
   assembly_ = std::make_unique<relay::RelayAssembly>(
       settings_, make_decider(simulation_.policy(), settings_.dispatcher, seed),
-      relay::RelayAssembly::Ports{*driver_, *this, *this, *this, std::move(story)});
+      relay::RelayAssembly::Ports{*driver_, *this, *this, *this, std::move(trace_sink)});
   turn_scheduled_ = false, timer_at_ = 0;
   // If the list can't be read now, the relay starts from the copy that it kept of it.
   auto update = registry_->apply_list(simulation_.list(), simulation_.clock.now());
--- a/lab/simulation.cpp
+++ b/lab/simulation.cpp
@@ -140,15 +140,15 @@
   f.tallies = load_model_.tallies();
   f.effects = effects_.size(), f.unanswered = load_model_.unanswered(), f.events = clock.events_run();
   for (const auto& r : relays_) f.connections += r->connections_opened();
-  std::set<const emulator::CapacityModel*> places;
-  for (auto& [id, e] : endpoints_) places.insert(&partner(e).capacity_of(id));
-  for (const auto* p : places) f.overloads += static_cast<std::uint64_t>(p->overloads());
+  std::set<const emulator::CapacityModel*> capacities;
+  for (auto& [id, e] : endpoints_) capacities.insert(&partner(e).capacity_of(id));
+  for (const auto* p : capacities) f.overloads += static_cast<std::uint64_t>(p->overloads());
   f.virtual_s = static_cast<double>(clock.now() - started_at_) * 1e-6;
   if (options_.check_rules) {
-    auto facts = script_->checker_input();
-    facts.slack =
-        4 * one_way_delay() + relay_template_.dispatcher.tick;  // no delays of processes or kernels here
-    f.check = rig::check_rules(facts, observed_, effects_);
+    auto input = script_->checker_input();
+    // No delays of processes or kernels here.
+    input.slack = 4 * one_way_delay() + relay_template_.dispatcher.tick;
+    f.check = rig::check_rules(input, observed_, effects_);
   }
   f.real_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - started).count();
   return std::move(figures_);
--- a/lab/simulation.hpp
+++ b/lab/simulation.hpp
@@ -1,5 +1,5 @@
 // Simulates a scenario in virtual time. Each relay runs the product's relay core, connection pool and
-// dispatcher; partners come from the emulator, clients from the load generator's bookkeeping. Only sockets,
+// dispatcher; partners come from the emulator, clients from the load generator's model. Only sockets,
 // the kernel and the time that computing takes are left out. Equal scenarios give equal results.
 #pragma once
 
@@ -14,8 +14,8 @@
 
 struct SimulationOptions {
   Policy policy = Policy::dispatcher;
-  rig::Time one_way_delay =
-      50;                   // microseconds one way, between client and relay and between relay and endpoint
+  // Microseconds one way, between client and relay and between relay and endpoint.
+  rig::Time one_way_delay = 50;
   bool check_rules = true;  // check the rules at the end of the day
   std::function<void(trace::MessageTrace&&)>
       trace_sink;  // receives the traces that the relays keep by their settings
--- a/lab/simulation_parts.hpp
+++ b/lab/simulation_parts.hpp
@@ -1,5 +1,5 @@
-// The parts of a simulation in virtual time: relays, connections, endpoints and the world that connects them.
-// Internal to the simulation lab.
+// The parts of a simulation in virtual time: relays, connections, endpoints and the simulation that connects
+// them. Internal to the simulation lab.
 #pragma once
 
 #include <functional>
@@ -32,12 +32,12 @@
   int kind = 0;
   pool::LinkId link = 0;
   std::uint64_t number = 0;
-  bool open_at_endpoint = false;           // at the endpoint
-  bool dead = false, goaway_sent = false;  // the endpoint: no longer answers on it; has sent GOAWAY
+  bool open_at_endpoint = false;
+  bool dead = false, goaway_sent = false;  // the endpoint no longer answers on it; it has sent GOAWAY
   Time last_used = 0;
-  struct EndpointCall {  // a call at the endpoint
-    std::size_t observed_index =
-        kNotObserved;    // index of its record among the observed calls, once it has arrived
+  struct EndpointCall {
+    // Index of its record among the observed calls, once it has arrived.
+    std::size_t observed_index = kNotObserved;
     bool ended = false;  // for the endpoint: answered, or reset by the relay
   };
   std::map<relay::CallId, EndpointCall> endpoint_calls;
@@ -62,7 +62,8 @@
 // The relay's end of a connection, in the form that the endpoint driver uses.
 class SimulatedLink final : public back::Link {
  public:
-  SimulatedLink(Simulation& world, ConnectionRef conn) : simulation_(world), connection_(std::move(conn)) {}
+  SimulatedLink(Simulation& simulation, ConnectionRef conn)
+      : simulation_(simulation), connection_(std::move(conn)) {}
   ~SimulatedLink() override { drop(); }
   SubmitResult submit(const relay::OutgoingCall& call, Time left) override;
   void reset(relay::CallId call) override;
@@ -82,7 +83,7 @@
 // crash and restart, and stall (stand still without losing its state).
 class SimulatedRelay final : relay::AnswerSink, relay::ListSource, relay::PeerChannel, relay::Log {
  public:
-  SimulatedRelay(Simulation& world, int rank);
+  SimulatedRelay(Simulation& simulation, int rank);
   void start();
   void crash();
   void stall() { stalled_ = true; }
@@ -159,7 +160,7 @@
 };
 
 // A whole simulation: clients, relays, endpoints and the network between them. The script of the scenario
-// drives it as its stage.
+// drives it through rig::ScenarioEnvironment.
 class Simulation final : public rig::ScenarioEnvironment {
  public:
   Simulation(const rig::Scenario& scenario, const SimulationOptions& options)
@@ -178,9 +179,9 @@
   int relays() const { return scenario_.relays; }
   std::uint64_t seed() const { return scenario_.seed; }
   bool traces_enabled() const { return static_cast<bool>(options_.trace_sink); }
-  void write_trace(trace::MessageTrace&& story) {
-    story.wall = story.accepted_at;  // virtual time counts from 1970
-    options_.trace_sink(std::move(story));
+  void write_trace(trace::MessageTrace&& message_trace) {
+    message_trace.wall = message_trace.accepted_at;  // virtual time counts from 1970
+    options_.trace_sink(std::move(message_trace));
   }
   pcg64& random() { return random_; }
   const config::PartnerList& list() const { return list_; }
@@ -194,7 +195,7 @@
                  const std::string& body);  // a note to one relay; whom < 0: to all others
   void answer(std::size_t try_index, const char* status, Time back);
 
-  // rig::Stage.
+  // rig::ScenarioEnvironment.
   Time now() override { return clock.now(); }
   void at(Time when, std::function<void()> f) override { clock.at(when, std::move(f)); }
   void fault_begins(const std::string& id, const emulator::FaultSettings& f) override;
@@ -230,8 +231,8 @@
   void execute_plan(const ConnectionRef& c, relay::CallId id, const std::string& message,
                     const std::string& key, const emulator::CallPlan& plan);
   void announce_streams(const std::string& id);
-  void reset_connection(const ConnectionRef& c);   // the endpoint resets the connection
-  void remove_connection(const ConnectionRef& c);  // removes the connection at the endpoint
+  void reset_connection(const ConnectionRef& c);   // by the endpoint
+  void remove_connection(const ConnectionRef& c);  // at the endpoint
   void run_on_relay(const ConnectionRef& c, std::function<void(SimulatedRelay&)> f);
   void submit_next_message();  // creates the load's next message and schedules the one after it
   void submit(rig::LoadModel::Message m);
--- a/lab/virtual_clock.hpp
+++ b/lab/virtual_clock.hpp
@@ -35,7 +35,7 @@
     }
     if (!done()) now_ = std::max(now_, until);
   }
-  std::uint64_t events_run() const { return events_run_; }  // number of events run
+  std::uint64_t events_run() const { return events_run_; }
 
  private:
   struct Event {
--- a/rig/checker.cpp
+++ b/rig/checker.cpp
@@ -101,7 +101,7 @@
   }
 }
 
-// Rule 2: no effect takes place twice, and a message is refused only where trying again is harmless.
+// Rule 2: no effect occurs twice, and a message is refused only where trying again is harmless.
 void Checker::no_effect_twice() {
   std::map<std::string, int> by_message, by_key;
   std::set<std::string> ran;
--- a/rig/checker.hpp
+++ b/rig/checker.hpp
@@ -1,4 +1,4 @@
-// Checks the six rules against the frames recorded at the sockets and the effects that took place at the
+// Checks the six rules against the frames recorded at the sockets and the effects that occurred at the
 // endpoints, never against what a relay reports about itself. Does no I/O; tests feed it recordings that
 // break each rule.
 #pragma once
--- a/rig/kill_test.cpp
+++ b/rig/kill_test.cpp
@@ -278,7 +278,7 @@
     });
   }
 
-  // ---- What the partners see ----
+  // ---- Events at the partners ----
   void frame(const record::CaptureRecord& r) {
     if (r.what != "HEADERS") return;
     const std::string destination = r.place.substr(0, r.place.rfind('-'));
@@ -299,7 +299,7 @@
       violated(m, "rule 1: sent after its final answer " + m.final);
     for (const auto& [from, until] : told_waits_[destination]) {
       if (r.at < from + kSettle || r.at >= until - kMs) continue;
-      // A kill so soon after the wait was told may have come before the wait was durable.
+      // A kill so soon after the wait was sent may have come before the wait was durable.
       bool lost = false;
       for (const Time k : killed_at_) lost = lost || (k >= from && k < from + kSettle);
       if (!lost) violated(m, "rule 6: sent to " + r.place + " within a wait that was told");
--- a/rig/kill_test.hpp
+++ b/rig/kill_test.hpp
@@ -16,8 +16,8 @@
   int kills = 100;
   int max_outstanding = 60;           // most messages without their answer
   std::string journal_sync = "each";  // the journal's sync mode
-  std::int64_t journal_disk_bytes =
-      4'194'304;       // the journal's disk limit in bytes; small, so that its space is reused
+  // The journal's disk limit in bytes; small, so that its space is reused.
+  std::int64_t journal_disk_bytes = 4'194'304;
   std::string folder;  // empty: a temporary one
   bool quiet = true;   // no progress lines
 };
@@ -26,7 +26,7 @@
   int kills = 0;
   std::uint64_t messages = 0, served = 0, refused = 0, failed = 0, resent = 0, attempts = 0, told_waits = 0;
   std::uint64_t recovered = 0;          // held messages that starts recovered from the journal, summed
-  std::vector<std::string> violations;  // violations of rules, at most 20
+  std::vector<std::string> violations;  // at most 20
   std::uint64_t unanswered = 0;
   bool passed() const { return violations.empty() && unanswered == 0; }
   std::string table() const;
--- a/rig/load_client.hpp
+++ b/rig/load_client.hpp
@@ -67,7 +67,7 @@
       Message message;
       Time until = 0;  // when the client stops waiting for the receipt
       std::uint64_t link = 0;
-      std::uint32_t stream = 0;  // on that link
+      std::uint32_t stream = 0;  // on that connection
     };
     std::map<std::string, AcceptedMessage> awaiting_receipt;  // by id: waiting for a receipt
     std::map<std::string, ClientEvent> early_receipts;        // receipts that came before the response
--- a/rig/load_model.hpp
+++ b/rig/load_model.hpp
@@ -49,8 +49,8 @@
     std::size_t cls = 0, destination = 0;
     std::string key, topic;
     int tenant = -1;
-    Time created_at = 0, last_request_at = 0;  // created; last pushed
-    int request_count = 0;                     // pushes so far
+    Time created_at = 0, last_request_at = 0;
+    int request_count = 0;  // pushes so far
   };
   struct Tally {
     std::uint64_t created = 0, served = 0, refused = 0, failed = 0, unexpected = 0, lost = 0, reset = 0,
--- a/rig/scenario.cpp
+++ b/rig/scenario.cpp
@@ -116,9 +116,9 @@
   }
   s.load.tenants = relay.names.tenants, s.load.tenant_field = relay.tenant_field;
   for (const auto& v : load.items("classes")) {
-    const auto place = static_cast<std::size_t>(v.at("name").index_in(relay.names.classes, "class"));
-    const auto& c = relay.dispatcher.classes[place];
-    s.load.classes.push_back({relay.names.classes[place], v.at("share").number(), c.effect, c.deadline,
+    const auto class_index = static_cast<std::size_t>(v.at("name").index_in(relay.names.classes, "class"));
+    const auto& c = relay.dispatcher.classes[class_index];
+    s.load.classes.push_back({relay.names.classes[class_index], v.at("share").number(), c.effect, c.deadline,
                               c.key_window, c.ordered, c.aim});
   }
   for (const auto& d : s.destinations) s.load.destinations.push_back(d.settings.name);
--- a/rig/scenario.hpp
+++ b/rig/scenario.hpp
@@ -48,8 +48,8 @@
   std::vector<Trouble> troubles;
 };
 
-// Both throw config::ConfigError, which names the place in the file. `file` also locates the relay settings,
-// which are named relative to it.
+// Both throw config::ConfigError, which names the position in the file. `file` also locates the relay
+// settings, which are named relative to it.
 Scenario load_scenario(const std::string& file);
 Scenario parse_scenario(const std::string& file, const std::string& text);
 
--- a/rig/scenario_run.hpp
+++ b/rig/scenario_run.hpp
@@ -12,8 +12,8 @@
 
 struct ScenarioRunOptions {
   std::vector<std::string> relay_command;  // program and arguments before "--config FILE"
-  std::string
-      output_folder;   // folder for settings, logs and recordings; empty: a temporary one, removed at the end
+  // Folder for settings, logs and recordings; empty: a temporary one, removed at the end.
+  std::string output_folder;
   bool quiet = false;  // no progress lines
 };
 
--- a/standin/server.hpp
+++ b/standin/server.hpp
@@ -1,6 +1,6 @@
 // Stand-in partners on real sockets: push gateways (RFC 8030 receivers) and message centres (SMPP), many
 // endpoints in one process. emulator::Partner decides the outcome of each connection and call; this module
-// carries it out and reports the effects that took place.
+// carries it out and reports the effects that occurred.
 #pragma once
 
 #include <functional>
@@ -48,10 +48,10 @@
     std::unique_ptr<ServerProtocol> protocol;
     std::unique_ptr<record::WireCapture> capture;
     Time last_used = 0;
-    bool dead = false, garbage = false;  // struck by the faults dead_idle and garbage
+    bool dead = false, garbage = false;  // affected by the faults dead_idle and garbage
     Time silent_until = 0;               // nothing is sent until then (handshake_slow)
-    bool goaway_sent = false;            // a GOAWAY was sent
-    std::uint32_t last_accepted = 0;     // last stream accepted before the GOAWAY
+    bool goaway_sent = false;
+    std::uint32_t last_accepted = 0;  // last stream accepted before the GOAWAY
   };
   void listen();
   void send_stream_limit();
@@ -78,8 +78,7 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// A destination with its endpoints. `frames` gets the recorded frames, `effects` the effects as they take
-// place.
+// A destination with its endpoints. `frames` gets the recorded frames, `effects` each effect.
 class Destination {
  public:
   Destination(loop::Loop& loop, const DestinationSettings& settings, record::Sink frames,
--- a/standin/settings.cpp
+++ b/standin/settings.cpp
@@ -160,7 +160,7 @@
 config::PartnerList partner_list(const std::vector<ListedDestination>& listed, const config::Names& names,
                                  std::int64_t version,
                                  const std::function<std::string(std::size_t, std::size_t)>& address) {
-  const auto place = [](const std::vector<std::string>& all, const std::string& name) {
+  const auto index_of = [](const std::vector<std::string>& all, const std::string& name) {
     const auto it = std::find(all.begin(), all.end(), name);
     return it == all.end() ? 0 : static_cast<int>(it - all.begin());
   };
@@ -171,8 +171,8 @@
       config::PartnerEndpoint p;
       p.id = listed[d].settings.endpoints[e].id, p.destination = listed[d].settings.name;
       p.address = address(d, e), p.path = "/push";
-      p.kind = place(names.kinds, listed[d].kind);
-      p.zone = e < listed[d].zones.size() ? place(names.zones, listed[d].zones[e]) : 0;
+      p.kind = index_of(names.kinds, listed[d].kind);
+      p.zone = e < listed[d].zones.size() ? index_of(names.zones, listed[d].zones[e]) : 0;
       p.weight = listed[d].weight;
       list.endpoints.push_back(std::move(p));
     }
--- a/tests/burst_test.cpp
+++ b/tests/burst_test.cpp
@@ -28,10 +28,10 @@
     load.seed = seed, load.retries = 0, load.rate = 0;
     s.settings.seed = seed;
   }
-  void add(int destinations, int endpoints, standin::CapacitySettings place = Service::quick()) {
+  void add(int destinations, int endpoints, standin::CapacitySettings capacity = Service::quick()) {
     for (int i = 1; i <= destinations; i++) {
       load.destinations.push_back("d" + std::to_string(i));
-      s.add(load.destinations.back(), endpoints, place);
+      s.add(load.destinations.back(), endpoints, capacity);
     }
   }
   void start() {
@@ -148,9 +148,9 @@
 // not affected.
 TEST(Burst, TheStreamLimitDropsToOneInService) {
   Burst b(7);
-  auto place = Service::quick();
-  place.service = 20 * kMs;
-  b.add(4, 1, place);
+  auto capacity = Service::quick();
+  capacity.service = 20 * kMs;
+  b.add(4, 1, capacity);
   b.load.count = 2'000, b.load.outstanding = 120, b.load.rate = 400;
   b.start();
   run_until(b.s.loop, [&] { return b.client->answered() >= 500; });
@@ -225,10 +225,11 @@
   d.open_max = 8'000, d.cold = 4 * kS, d.overload_for = 1 * kS, d.cold_from = 0.2, d.fall_multiple = 2;
   for (auto& c : d.classes) c.deadline = 40 * kS;
   b.s.settings.client_streams_max = 8'000;
-  auto place = Service::quick();
-  place.servers = 20, place.service = 20 * kMs, place.queue = 400;  // 1,000 per second
-  place.cold = d.cold, place.overload_for = d.overload_for, place.cold_from = 0.2, place.fall_multiple = 2;
-  b.add(1, 2, place);
+  auto capacity = Service::quick();
+  capacity.servers = 20, capacity.service = 20 * kMs, capacity.queue = 400;  // 1,000 per second
+  capacity.cold = d.cold, capacity.overload_for = d.overload_for, capacity.cold_from = 0.2,
+  capacity.fall_multiple = 2;
+  b.add(1, 2, capacity);
   b.s.decider = decider;
   b.load.classes = {{"pay", 1, Effect::unsafe, 40 * kS, 0, false}};
   b.load.count = 8'000, b.load.rate = 800, b.load.outstanding = 0;
@@ -284,16 +285,16 @@
   settings.dispatcher.tenants.assign(3, {.quota_per_s = 80});
   settings.dispatcher.open_max = 300;
   adjust(settings);
-  auto place = Service::quick();
+  auto capacity = Service::quick();
   // 200 per second at each of two destinations; 590 are sent.
-  place.servers = 2, place.service = 10 * kMs, place.queue = 50;
-  b.add(2, 1, place);
+  capacity.servers = 2, capacity.service = 10 * kMs, capacity.queue = 50;
+  b.add(2, 1, capacity);
   b.load.skew = 0, b.load.rate = 220, b.load.count = 3'500, b.load.outstanding = 0;
   b.load.tenants = settings.names.tenants, b.load.tenant_field = settings.tenant_field;
   b.start();
   b.client->model().set_greedy_tenant(1, 6);
-  b.client->model().set_rate_multiplier(8.0 /
-                                        3);  // 1 + 6 + 1 shares instead of three: the others send as before
+  // 1 + 6 + 1 shares instead of three: the others send as before.
+  b.client->model().set_rate_multiplier(8.0 / 3);
   run_until(
       b.s.loop, [&] { return b.client->done(); }, 120 * kS);
   std::map<std::pair<std::uint64_t, std::uint32_t>, std::string> tenant_of;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -329,33 +329,35 @@
 }
 
 TEST(PartnerBook, TellsTheWholeListOnceThenChanges) {
-  PartnerRegistry book;
+  PartnerRegistry registry;
   auto a = partner("a", "x", "1"), b = partner("b", "y", "2");
-  auto update = book.apply_list({1, {a, b}}, 5);
+  auto update = registry.apply_list({1, {a, b}}, 5);
   EXPECT_TRUE(update.whole);
   EXPECT_EQ(update.endpoints.size(), 2u);
-  EXPECT_EQ(book.apply_list({1, {a, b}}, 6).endpoints.size(), 0u);
+  EXPECT_EQ(registry.apply_list({1, {a, b}}, 6).endpoints.size(), 0u);
   a.listing = Listing::draining;
-  update = book.apply_list({2, {a, partner("c", "x", "3")}}, 7);
+  update = registry.apply_list({2, {a, partner("c", "x", "3")}}, 7);
   EXPECT_FALSE(update.whole);
   ASSERT_EQ(update.endpoints.size(), 3u);
   EXPECT_EQ(update.endpoints[0].listing, Listing::draining);
   EXPECT_EQ(update.endpoints[1].since, 7);  // added while running
   EXPECT_EQ(update.endpoints[2].listing, Listing::gone);
-  EXPECT_FALSE(book.find_destination("y"));
-  EXPECT_TRUE(book.find_destination("x"));
+  EXPECT_FALSE(registry.find_destination("y"));
+  EXPECT_TRUE(registry.find_destination("x"));
 }
 
 TEST(PartnerBook, AnIdDoesNotMove) {
-  PartnerRegistry book;
-  book.apply_list({1, {partner("a", "x", "1"), partner("b", "x", "2")}}, 5);
-  auto update = book.apply_list({2, {partner("a", "y", "1"), partner("b", "x", "2")}}, 6);
+  PartnerRegistry registry;
+  registry.apply_list({1, {partner("a", "x", "1"), partner("b", "x", "2")}}, 5);
+  auto update = registry.apply_list({2, {partner("a", "y", "1"), partner("b", "x", "2")}}, 6);
   ASSERT_EQ(update.problems.size(), 1u);
   ASSERT_EQ(update.endpoints.size(), 1u);
   EXPECT_EQ(update.endpoints[0].listing, Listing::gone);
   // Unlisted endpoints are remembered too; back at its old address, the endpoint is accepted again.
-  EXPECT_EQ(book.apply_list({3, {partner("a", "x", "9"), partner("b", "x", "2")}}, 7).problems.size(), 1u);
-  EXPECT_EQ(book.apply_list({4, {partner("a", "x", "1"), partner("b", "x", "2")}}, 8).endpoints.size(), 1u);
+  EXPECT_EQ(registry.apply_list({3, {partner("a", "x", "9"), partner("b", "x", "2")}}, 7).problems.size(),
+            1u);
+  EXPECT_EQ(registry.apply_list({4, {partner("a", "x", "1"), partner("b", "x", "2")}}, 8).endpoints.size(),
+            1u);
 }
 
 }  // namespace
--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -323,7 +323,7 @@
   r.end(early, Outcome::served);
   EXPECT_EQ(r.sends_of(held), 1);
 }
-// Every relay was told the same moment at which the destination is available again. They must not all call
+// Every relay was given the same time at which the destination is available again. They must not all call
 // then.
 TEST(Shut, RelaysToldOfTheOpeningDoNotAllComeThen) {
   for (const bool apart : {false, true}) {
--- a/tests/faults/control.hpp
+++ b/tests/faults/control.hpp
@@ -11,8 +11,8 @@
 
 namespace cedarplank::testing::faults {
 
-constexpr const char* kControlFileVariable =
-    "CEDARPLANK_FAULTS";  // environment variable with the path of the file
+// Environment variable with the path of the file.
+constexpr const char* kControlFileVariable = "CEDARPLANK_FAULTS";
 
 struct Control {
   // errno values for calls on the journal folder.
--- a/tests/faults/preload.cpp
+++ b/tests/faults/preload.cpp
@@ -46,7 +46,7 @@
   return true;
 }
 
-// The size to pass on, limited as the control file says.
+// The size to pass on, limited as the control file sets it.
 size_t limited_size(size_t size) {
   const int most = control() == nullptr ? 0 : control()->max_io_bytes.load(std::memory_order_relaxed);
   return most > 0 ? std::min(size, static_cast<size_t>(most)) : size;
--- a/tests/faults/rule_checker.cpp
+++ b/tests/faults/rule_checker.cpp
@@ -6,8 +6,8 @@
 namespace cedarplank::testing::faults {
 namespace {
 
-constexpr Time kOverdue =
-    350'000;  // grace after the deadline; later, a request counts as lost (platform protocol)
+// Grace after the deadline; later, a request counts as lost (platform protocol).
+constexpr Time kOverdue = 350'000;
 constexpr Time kAfterReady = 1'500'000;    // no notice counts as overdue earlier than this after a restart
 constexpr Time kInFlight = 100'000;        // a call sent before the final answer may still arrive
 constexpr Time kReadyWithin = 10'000'000;  // bound for a restarted relay (platform protocol: for nine in ten)
--- a/tests/faults/rule_checker.hpp
+++ b/tests/faults/rule_checker.hpp
@@ -63,7 +63,7 @@
   Time told = 0, until = 0;
 };
 
-// Bytes for an endpoint were delayed on the way: they left the relay at `from` and arrived at `until`.
+// Bytes for an endpoint were delayed in transit: they left the relay at `from` and arrived at `until`.
 struct Hold {
   std::string endpoint;
   Time from = 0, until = 0;
--- a/tests/journal_crash_test.cpp
+++ b/tests/journal_crash_test.cpp
@@ -33,7 +33,7 @@
   explicit Environment(std::uint64_t seed) : files(seed), random(seed) {}
   struct Message {
     int cls = 0;
-    MessageId id = 0;  // in this run; 0: not handed in yet
+    MessageId id = 0;  // in this run; 0: not submitted yet
     bool acknowledged = false;
     int effects = 0;
     char final = 0;
@@ -151,7 +151,7 @@
   std::vector<relay::CallId> recall(const EndpointId&) override { return {}; }
   void close_idle(const EndpointId&) override {}
   void probe(const EndpointId&) override {}
-  // relay::Answers
+  // relay::AnswerSink
   void served(MessageId id, const relay::CallResult&) override { answer(id, 's'); }
   void refused(MessageId id, Time, const relay::AttemptSummary&) override { answer(id, 'r'); }
   void failed(MessageId id, const relay::AttemptSummary&) override { answer(id, 'f'); }
--- a/tests/journal_model_test.cpp
+++ b/tests/journal_model_test.cpp
@@ -30,7 +30,7 @@
 // One path: the system with everything around it, advanced step by step.
 class Simulation final : public relay::Transport, public relay::AnswerSink {
  public:
-  // kind: t hand in a message, s send an attempt, r refuse, f fail, g give the attempt up, p the partner
+  // kind: t submit a message, s send an attempt, r refuse, f fail, g give the attempt up, p the partner
   // performs the effect, e the call ends (b: how), c commit, x crash (a: records kept), w the told wait
   // passes. a is a client, message, call or record.
   struct Step {
@@ -191,7 +191,7 @@
   std::vector<relay::CallId> recall(const EndpointId&) override { return {}; }
   void close_idle(const EndpointId&) override {}
   void probe(const EndpointId&) override {}
-  // relay::Answers
+  // relay::AnswerSink
   void served(MessageId id, const relay::CallResult&) override { answer(id, 's'); }
   void refused(MessageId id, Time, const relay::AttemptSummary&) override { answer(id, 'r'); }
   void failed(MessageId id, const relay::AttemptSummary&) override { answer(id, 'f'); }
@@ -314,7 +314,7 @@
         violation = id ? "1: held again after its final answer" : "1: the answer given is forgotten";
       } else if (!id) {
         if (c.acknowledged) violation = "1: lost after it was acknowledged";
-        c.id = 0;  // it may be handed in again
+        c.id = 0;  // it may be submitted again
       }
     }
   }
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -161,7 +161,7 @@
   EXPECT_NE(decode("\xff\xff", r), "");
 }
 
-// A writer on a faulty folder, with the owner's thread played by until().
+// A writer on a faulty folder, with until() acting as the owner's thread.
 struct WriterFixture {
   std::mutex mutex;
   std::vector<std::function<void()>> posted;
--- a/tests/platform_faults_test.cpp
+++ b/tests/platform_faults_test.cpp
@@ -88,8 +88,8 @@
   expect_rules_kept();
 }
 
-// Local socket errors say nothing about the endpoints: no endpoint is closed for them, and delivery continues
-// once they stop.
+// Local socket errors are no evidence about the endpoints: no endpoint is closed for them, and delivery
+// continues once they stop.
 TEST_F(PlatformFaults, SystemCallsOfSocketsThatFailForAMomentCostNoMessage) {
   ASSERT_TRUE(fleet.start(0));
   Control& c = fleet.faults(0);
--- a/tests/platform_fixture.hpp
+++ b/tests/platform_fixture.hpp
@@ -173,7 +173,7 @@
   std::map<std::string, std::function<Server::Reply(const Call&)>> endpoint_replies;  // by endpoint
   std::vector<Call> calls;
   std::vector<std::string> notices, log;
-  std::vector<std::pair<Server*, int>> open_watches;  // open, with their connections
+  std::vector<std::pair<Server*, int>> open_watches;  // with their connections
   int outcome_status = 204, list_requests = 0,
       notice_posts = 0;      // answer to notices; requests for lists; posts of notices
   int unanswered_posts = 0;  // so many of the next posts of notices get no answer
@@ -235,7 +235,7 @@
                                                   ? std::function<void()>([this] { sending_ended = true; })
                                                   : std::function<void()>()});
   }
-  // Shuts down sending; reading goes on.
+  // Shuts down sending; reading continues.
   void shutdown_sending() { shutdown(stream_->descriptor(), SHUT_WR); }
   void write(const std::string& bytes) { stream_->write(bytes); }
   void submit(const std::string& id, const std::string& cls = "status", int dest = 7,
--- a/tests/platform_repeats_test.cpp
+++ b/tests/platform_repeats_test.cpp
@@ -216,8 +216,8 @@
   expect_rules_kept();
 }
 
-// The same where the process is killed: the kernel goes on delivering its call, and the next process ends the
-// message.
+// The same where the process is killed: the kernel continues to deliver its call, and the next process ends
+// the message.
 TEST_F(PlatformLargeRequests, ACallThatWasOutAtAKillDoesNotArriveAfterTheEnd) {
   ASSERT_TRUE(fleet.start(0));
   for (const char* endpoint : {"s-0-0", "s-1-0", "s-2-0"}) fleet.pause_reading(endpoint, true);
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the connection pool, without sockets: the tests play the endpoint.
+// Tests of the connection pool, without sockets: the tests act as the endpoint.
 #include "pool/pool.hpp"
 
 #include <gtest/gtest.h>
@@ -13,9 +13,9 @@
 // A pool with the record of the steps that it asked for.
 struct PoolFixture {
   Settings settings;
-  HandshakeLimiter gate{2};
+  HandshakeLimiter limiter{2};
   LinkId next = 1;
-  Pool pool{"e", settings, gate, next, 7};
+  Pool pool{"e", settings, limiter, next, 7};
   Time now = kS;
   CallId calls = 0;
   std::map<LinkId, std::vector<CallId>> on;  // calls submitted, by connection
@@ -116,7 +116,7 @@
   r.after(r.settings.connect_timeout);  // no SETTINGS arrive
   EXPECT_EQ(r.closes.back().second, CloseReason::connect_timeout);
   EXPECT_EQ(r.pool.waiting(), 0u);
-  EXPECT_EQ(r.gate.in_progress(), 0);
+  EXPECT_EQ(r.limiter.in_progress(), 0);
 }
 
 TEST(Pool, ADeadConnectionTakesNothingNewButWhatIsOutStaysOut) {
@@ -146,9 +146,9 @@
   std::set<Time> starts;
   for (std::uint64_t seed = 0; seed < 40; seed++) {
     Settings settings;
-    HandshakeLimiter gate(10);
+    HandshakeLimiter limiter(10);
     LinkId next = 1;
-    Pool pool("e", settings, gate, next, seed);
+    Pool pool("e", settings, limiter, next, seed);
     std::vector<Step> steps;
     pool.enqueue(1);
     pool.steps(kS, steps);
@@ -177,7 +177,7 @@
 // A relay that loses all its connections at once never exceeds the handshake limit, and reconnects in order.
 TEST(Pool, AReconnectStormPassesTheGateInOrder) {
   Settings settings;
-  HandshakeLimiter gate(5);
+  HandshakeLimiter limiter(5);
   LinkId next = 1;
   std::vector<std::unique_ptr<Pool>> pools;
   std::map<std::string, Pool*> by_name;
@@ -189,14 +189,14 @@
       if (s.kind == Step::Kind::connect) connecting.emplace_back(&pool, s.link);
   };
   for (int i = 0; i < 50; i++) {
-    pools.push_back(std::make_unique<Pool>("e" + std::to_string(100 + i), settings, gate, next, 1));
+    pools.push_back(std::make_unique<Pool>("e" + std::to_string(100 + i), settings, limiter, next, 1));
     by_name["e" + std::to_string(100 + i)] = pools.back().get();
     pools.back()->enqueue(static_cast<CallId>(i + 1));
     step(*pools.back());
   }
   std::vector<Pool*> order;
   while (!connecting.empty()) {
-    EXPECT_LE(gate.in_progress(), 5);
+    EXPECT_LE(limiter.in_progress(), 5);
     const auto [pool, link] = connecting.front();
     connecting.erase(connecting.begin());
     order.push_back(pool);
@@ -207,13 +207,13 @@
     else
       pool->set_ready(link, kS, 100);
     for (int guard = 0; guard < 100; guard++) {
-      const auto who = gate.next_waiting();
+      const auto who = limiter.next_waiting();
       if (!who) break;
       step(*by_name.at(*who));
     }
   }
-  EXPECT_EQ(gate.in_progress(), 0);
-  EXPECT_EQ(gate.queued(), 0u);
+  EXPECT_EQ(limiter.in_progress(), 0);
+  EXPECT_EQ(limiter.queued(), 0u);
   EXPECT_EQ(order.size(), 49u);
   // First come, first served.
   std::vector<Pool*> asked;
@@ -310,7 +310,7 @@
         ASSERT_LE(open.size() - drained.size(), static_cast<std::size_t>(r.settings.connections_max));
       }
     }
-    EXPECT_LE(r.gate.in_progress(), 2);
+    EXPECT_LE(r.limiter.in_progress(), 2);
   }
 }
 
--- a/tests/service.hpp
+++ b/tests/service.hpp
@@ -130,10 +130,10 @@
     std::filesystem::remove_all(folder, ignored);
   }
   // Adds a destination with `n` stand-in endpoints, which answer quickly by default.
-  standin::Destination& add(const std::string& name, int n, standin::CapacitySettings place = quick(),
+  standin::Destination& add(const std::string& name, int n, standin::CapacitySettings capacity = quick(),
                             int streams_max = 100, bool smpp = false, int kind = 0) {
     standin::DestinationSettings d;
-    d.name = name, d.capacity = place, d.key_window = 8 * kS, d.smpp = smpp;
+    d.name = name, d.capacity = capacity, d.key_window = 8 * kS, d.smpp = smpp;
     for (int i = 0; i < n; i++) {
       standin::EndpointSettings e;
       e.id = name + "-" + std::to_string(i + 1), e.streams_max = streams_max;
@@ -147,9 +147,9 @@
   }
   // Adds a destination whose endpoints are message centres (SMPP).
   standin::Destination& add_message_centre(const std::string& name, int n, const char* kind = "sms",
-                                           standin::CapacitySettings place = quick()) {
+                                           standin::CapacitySettings capacity = quick()) {
     const auto& kinds = settings.names.kinds;
-    return add(name, n, place, 100, true,
+    return add(name, n, capacity, 100, true,
                static_cast<int>(std::find(kinds.begin(), kinds.end(), kind) - kinds.begin()));
   }
   static standin::CapacitySettings quick() {
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -104,9 +104,9 @@
 // processed, so their messages are sent again, even unsafe ones. None takes effect twice.
 TEST(Service, AGoawayInTheMiddleOfABurst) {
   Service s;
-  auto place = Service::quick();
-  place.service = 50 * kMs;
-  s.add("c", 1, place);
+  auto capacity = Service::quick();
+  capacity.service = 50 * kMs;
+  s.add("c", 1, capacity);
   s.start();
   Client c(s.loop, s.node->address());
   const auto first = c.push("/push/c/pay", "id=w;");
@@ -175,9 +175,9 @@
 // others are still delivered.
 TEST(Service, AClientThatResetsOneStreamWithdrawsOneMessage) {
   Service s;
-  auto place = Service::quick();
-  place.service = 100 * kMs;
-  s.add("c", 1, place);
+  auto capacity = Service::quick();
+  capacity.service = 100 * kMs;
+  s.add("c", 1, capacity);
   s.start();
   Client c(s.loop, s.node->address());
   std::vector<http2::StreamId> ids;
@@ -194,9 +194,9 @@
 
 TEST(Service, AClientThatGoesAwayWithdrawsAllItHad) {
   Service s;
-  auto place = Service::quick();
-  place.servers = 1, place.service = 200 * kMs;
-  s.add("c", 1, place);
+  auto capacity = Service::quick();
+  capacity.servers = 1, capacity.service = 200 * kMs;
+  s.add("c", 1, capacity);
   s.start();
   auto c = std::make_unique<Client>(s.loop, s.node->address());
   for (int i = 0; i < 50; i++) c->push("/push/c/status", "id=x" + std::to_string(i) + ";");
@@ -257,9 +257,9 @@
 // sent to it.
 TEST(Service, AnEndpointThatLeavesTheListGetsNothingNew) {
   Service s;
-  auto place = Service::quick();
-  place.service = 150 * kMs;
-  s.add("c", 2, place);
+  auto capacity = Service::quick();
+  capacity.service = 150 * kMs;
+  s.add("c", 2, capacity);
   s.start();
   Client c(s.loop, s.node->address());
   for (int i = 0; i < 20; i++) c.push("/push/c/pay", "id=l" + std::to_string(i) + ";");
@@ -315,9 +315,9 @@
 TEST(Service, BeyondItsBufferARelayTakesNothing) {
   Service s;
   s.settings.dispatcher.open_max = 10;
-  auto place = Service::quick();
-  place.service = 300 * kMs;
-  s.add("c", 1, place);
+  auto capacity = Service::quick();
+  capacity.service = 300 * kMs;
+  s.add("c", 1, capacity);
   s.start();
   Client c(s.loop, s.node->address());
   for (int i = 0; i < 40; i++) c.push("/push/c/pay", "id=b" + std::to_string(i) + ";");
@@ -365,7 +365,7 @@
 TEST(Service, ClientsAreToldHowManyStreamsTheyMayOpenNow) {
   Service s;
   int streams = 50;
-  gateway::PushServer front(
+  gateway::PushServer push_server(
       s.loop, s.settings,
       {.find_destination = [](const std::string&) { return std::optional<DestinationId>(); },
        .accept = [](relay::NewMessage,
@@ -373,7 +373,7 @@
        .withdraw = [](MessageId) {},
        .client_streams_max = [&] { return streams; },
        .log = [](const std::string&) {}});
-  Client c(s.loop, front.address());
+  Client c(s.loop, push_server.address());
   for (const int now : {50, 7, 30}) {
     streams = now;
     const auto id = c.push("/push/c/pay", "x");
@@ -409,9 +409,9 @@
 
 TEST(Service, KeepsToThePeersStreamLimitAndUsesMoreConnections) {
   Service s;
-  auto place = Service::quick();
-  place.service = 20 * kMs;
-  s.add("c", 1, place, 5);
+  auto capacity = Service::quick();
+  capacity.service = 20 * kMs;
+  s.add("c", 1, capacity, 5);
   s.start();
   Client c(s.loop, s.node->address());
   for (int i = 0; i < 100; i++) c.push("/push/c/pay", "id=k" + std::to_string(i) + ";");
--- a/tests/smpp_back_test.cpp
+++ b/tests/smpp_back_test.cpp
@@ -125,9 +125,9 @@
 }
 
 TEST_F(SmppBack, AResponseAfterItsTimeIsNoAnswer) {
-  auto place = Service::quick();
-  place.service = 2'500 * kMs;
-  s.add_message_centre("centre", 1, "sms", place);
+  auto capacity = Service::quick();
+  capacity.service = 2'500 * kMs;
+  s.add_message_centre("centre", 1, "sms", capacity);
   start();
   const auto late = push("pay", "late", 0, {}, "1");
   until_all_answered();
--- a/tests/smpp_front_test.cpp
+++ b/tests/smpp_front_test.cpp
@@ -118,9 +118,9 @@
 }
 
 TEST_F(SmppFront, ReceiptsWaitForAClientThatHasUnbound) {
-  auto place = Service::quick();
-  place.service = 300 * kMs;
-  s.add("push", 1, place);
+  auto capacity = Service::quick();
+  capacity.service = 300 * kMs;
+  s.add("push", 1, capacity);
   s.start();
   auto e = bound("bank", Command::bind_transmitter);
   std::set<std::string> ids;
@@ -298,9 +298,9 @@
 }
 
 TEST_F(SmppFront, StoppingTurnsBackDeliversWhatIsOwedAndUnbinds) {
-  auto place = Service::quick();
-  place.service = 200 * kMs;
-  s.add("push", 1, place);
+  auto capacity = Service::quick();
+  capacity.service = 200 * kMs;
+  s.add("push", 1, capacity);
   s.start();
   auto e = bound();
   auto later = Esme::message("push", "PAY", body("later", "pay"));
@@ -318,7 +318,7 @@
 // ---- Components without sockets ----
 
 TEST(Submissions, PartsAndSchedulesAreBoundedByClientBytesAndTime) {
-  sms::Submissions book(
+  sms::Submissions submissions(
       {.scheduled_max = 20, .parts_max = 20, .states_max = 3, .bytes_max = 100, .parts_timeout = 5 * kS});
   const auto of = [](const std::string& client, const std::string& id, Time ends) {
     sms::Submission s;
@@ -328,33 +328,33 @@
   using Part = sms::Submissions::Part;
   for (int i = 0; i < 30; i++) {
     const auto name = std::to_string(i);
-    const auto added = book.add_part(0, name, {1, 1, 2}, of("loud", name, 999 * kS), "x");
+    const auto added = submissions.add_part(0, name, {1, 1, 2}, of("loud", name, 999 * kS), "x");
     EXPECT_EQ(added.part, i < 20 ? Part::first : Part::no_capacity);
   }
   auto later = of("loud", "s", kS);
-  EXPECT_FALSE(book.schedule(later)) << "one client may use half of the capacity";
+  EXPECT_FALSE(submissions.schedule(later)) << "one client may use half of the capacity";
   later = of("quiet", "q", 2 * kS), later.request.body = std::string(60, 'x');
-  EXPECT_TRUE(book.schedule(later));
-  EXPECT_FALSE(book.replace("quiet", "q", {std::string(90, 'x'), ""}, {}, {})) << "exceeds bytes_max";
-  EXPECT_TRUE(book.replace("quiet", "q", {std::string(70, 'x'), ""}, 3 * kS, {}));
-  EXPECT_EQ(book.add_part(0, "7", {1, 2, 2}, of("loud", "other", 1), "y").part, Part::completed);
-  EXPECT_EQ(book.add_part(0, "8", {1, 1, 2}, of("loud", "other", 1), "y").part, Part::duplicate);
-  EXPECT_EQ(book.add_part(0, "8", {1, 2, 3}, of("loud", "other", 1), "y").part, Part::no_capacity)
+  EXPECT_TRUE(submissions.schedule(later));
+  EXPECT_FALSE(submissions.replace("quiet", "q", {std::string(90, 'x'), ""}, {}, {})) << "exceeds bytes_max";
+  EXPECT_TRUE(submissions.replace("quiet", "q", {std::string(70, 'x'), ""}, 3 * kS, {}));
+  EXPECT_EQ(submissions.add_part(0, "7", {1, 2, 2}, of("loud", "other", 1), "y").part, Part::completed);
+  EXPECT_EQ(submissions.add_part(0, "8", {1, 1, 2}, of("loud", "other", 1), "y").part, Part::duplicate);
+  EXPECT_EQ(submissions.add_part(0, "8", {1, 2, 3}, of("loud", "other", 1), "y").part, Part::no_capacity)
       << "part with another total";
   std::vector<sms::Submission> start, never;
-  EXPECT_EQ(book.next_due(), 3 * kS);
-  book.take_due(5 * kS, start, never);
+  EXPECT_EQ(submissions.next_due(), 3 * kS);
+  submissions.take_due(5 * kS, start, never);
   EXPECT_EQ(start.size(), 1u);
   EXPECT_EQ(never.size(), 19u) << "dropped after parts_within, although valid for longer";
-  EXPECT_EQ(book.bytes(), 0u);
-  EXPECT_EQ(book.held(), 0u);
+  EXPECT_EQ(submissions.bytes(), 0u);
+  EXPECT_EQ(submissions.held(), 0u);
   // Only the latest states_max final states are kept, and only their client can query them; for several
   // recipients the worst state counts.
-  for (int i = 0; i < 5; i++) book.record_final_state("c", std::to_string(i), sms::kDelivered, 1);
-  book.record_final_state("c", "4", sms::kUnknown, 2);
-  EXPECT_FALSE(book.state("c", "1"));
-  EXPECT_FALSE(book.state("d", "4"));
-  EXPECT_EQ(book.state("c", "4")->state, sms::kUnknown);
+  for (int i = 0; i < 5; i++) submissions.record_final_state("c", std::to_string(i), sms::kDelivered, 1);
+  submissions.record_final_state("c", "4", sms::kUnknown, 2);
+  EXPECT_FALSE(submissions.state("c", "1"));
+  EXPECT_FALSE(submissions.state("d", "4"));
+  EXPECT_EQ(submissions.state("c", "4")->state, sms::kUnknown);
 }
 
 TEST(Passwords, HashesMatchTheirPasswordOnly) {
@@ -388,31 +388,31 @@
 }
 
 TEST(ReceiptBook, KeepsOrderBoundsAndTime) {
-  sms::ReceiptQueue book({.max_waiting = 10, .retention = 5 * kS, .retry_delay = kS});
+  sms::ReceiptQueue receipts({.max_waiting = 10, .retention = 5 * kS, .retry_delay = kS});
   const auto receipt = [](int i) {
     smpp::Message m;
     m.text = std::to_string(i);
     return m;
   };
-  book.add(0, "quiet", receipt(0));
-  for (int i = 0; i < 30; i++) book.add(0, "loud", receipt(i));
-  EXPECT_EQ(book.waiting(), 10u);
-  EXPECT_EQ(book.waiting("quiet"), 1u) << "the oldest receipt of the client with the most is dropped";
-  EXPECT_EQ(book.counts().dropped, 21u);
-  const auto a = book.next(0, "loud"), b = book.next(0, "loud");
+  receipts.add(0, "quiet", receipt(0));
+  for (int i = 0; i < 30; i++) receipts.add(0, "loud", receipt(i));
+  EXPECT_EQ(receipts.waiting(), 10u);
+  EXPECT_EQ(receipts.waiting("quiet"), 1u) << "the oldest receipt of the client with the most is dropped";
+  EXPECT_EQ(receipts.counts().dropped, 21u);
+  const auto a = receipts.next(0, "loud"), b = receipts.next(0, "loud");
   EXPECT_EQ(a->second.text, "21");
-  book.requeue(b->first), book.requeue(a->first);
-  EXPECT_EQ(book.next(0, "loud")->second.text, "21");
-  const auto c = book.next(0, "loud");
-  book.postpone(0, c->first);
-  EXPECT_FALSE(book.next(kS / 2, "loud"));
-  EXPECT_EQ(book.next_retry(kS / 2), kS);
-  EXPECT_GT(book.next_retry(kS), 5 * kS) << "only postponed receipts count";
+  receipts.requeue(b->first), receipts.requeue(a->first);
+  EXPECT_EQ(receipts.next(0, "loud")->second.text, "21");
+  const auto c = receipts.next(0, "loud");
+  receipts.postpone(0, c->first);
+  EXPECT_FALSE(receipts.next(kS / 2, "loud"));
+  EXPECT_EQ(receipts.next_retry(kS / 2), kS);
+  EXPECT_GT(receipts.next_retry(kS), 5 * kS) << "only postponed receipts count";
 
-  EXPECT_EQ(book.next(kS, "loud")->second.text, "22");
-  book.tick(5 * kS);
-  EXPECT_EQ(book.waiting(), 0u);
-  EXPECT_EQ(book.counts().expired, 8u);
+  EXPECT_EQ(receipts.next(kS, "loud")->second.text, "22");
+  receipts.tick(5 * kS);
+  EXPECT_EQ(receipts.waiting(), 0u);
+  EXPECT_EQ(receipts.counts().expired, 8u);
 }
 
 TEST(SmppTimes, AbsoluteAndRelative) {
--- a/tests/smpp_mixed_test.cpp
+++ b/tests/smpp_mixed_test.cpp
@@ -20,11 +20,12 @@
                   {"gate", 0.1, Effect::keyed, 8 * kS, 8 * kS, true}};
   load.retries = 0, load.rate = 0, load.count = 10'000, load.outstanding = 300;
   load.smpp_share = 0.5, load.body = 120;
-  auto& front = s.settings.smpp.emplace();
-  front.listen = "127.0.0.1:0";
-  front.clients = {{"load", sms::hash_password("secret", 1000), -1, 4}};
-  for (const auto& c : load.classes) front.classes.push_back({rig::service_type_of(c.name), {}, c.name});
-  rig::CheckerInput facts;
+  auto& smpp_settings = s.settings.smpp.emplace();
+  smpp_settings.listen = "127.0.0.1:0";
+  smpp_settings.clients = {{"load", sms::hash_password("secret", 1000), -1, 4}};
+  for (const auto& c : load.classes)
+    smpp_settings.classes.push_back({rig::service_type_of(c.name), {}, c.name});
+  rig::CheckerInput input;
   for (int i = 1; i <= 12; i++) {
     const std::string name = "d" + std::to_string(i);
     load.destinations.push_back(name);
@@ -32,19 +33,19 @@
       s.add_message_centre(name, 2);
     else
       s.add(name, 2);
-    for (const auto& e : s.destinations.back()->endpoints()) facts.domain_of[e->id()] = name;
+    for (const auto& e : s.destinations.back()->endpoints()) input.domain_of[e->id()] = name;
   }
   s.start();
   std::vector<record::CaptureRecord> records;
-  rig::LoadClient* book = nullptr;
+  rig::LoadClient* load_client = nullptr;
   rig::LoadClient client(
       s.loop, load, {{"relay-0", s.node->address()}, {"relay-0", s.node->smpp_address(), "load", "secret"}},
       [&](const rig::LoadClient::Message& m, const std::vector<bool>&) {
-        return std::pair(static_cast<std::size_t>(book->model().uses_smpp(m)),
+        return std::pair(static_cast<std::size_t>(load_client->model().uses_smpp(m)),
                          "/push/" + load.destinations[m.destination] + "/" + load.classes[m.cls].name);
       },
       [&](record::CaptureRecord&& r) { records.push_back(std::move(r)); });
-  book = &client;
+  load_client = &client;
   client.start();
   // Endpoints of both kinds, one after the other, accept a message and drop the connection without a
   // response.
@@ -86,11 +87,11 @@
   run_until(s.loop, [&] { return s.node->core().held() == 0 && s.node->core().slots_used() == 0; });
   s.node.reset();
   for (const auto& c : load.classes)
-    facts.classes[c.name] = {.effect = c.effect, .deadline = c.deadline, .ordered = c.ordered};
-  facts.slack = 1 * kS, facts.answer_slack = s.settings.dispatcher.answer_slack;
-  facts.settle_after_doubt = s.settings.dispatcher.settle_after_doubt;
+    input.classes[c.name] = {.effect = c.effect, .deadline = c.deadline, .ordered = c.ordered};
+  input.slack = 1 * kS, input.answer_slack = s.settings.dispatcher.answer_slack;
+  input.settle_after_doubt = s.settings.dispatcher.settle_after_doubt;
   records.insert(records.end(), s.frames.begin(), s.frames.end());
-  const auto verdict = rig::check_rules(facts, std::move(records), s.effects);
+  const auto verdict = rig::check_rules(input, std::move(records), s.effects);
   EXPECT_TRUE(verdict.passed()) << rig::format_check_result(verdict);
   EXPECT_GT(verdict.rules[0].checked, 9'900u);
   EXPECT_GT(verdict.rules[1].checked, 3'000u);
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -235,15 +235,15 @@
   s.node.reset();  // writes all traces to the file
   const auto all = stories_in(s.settings.trace_file);
   ASSERT_EQ(all.size(), 2u);
-  const MessageTrace& story = all[1];
-  EXPECT_TRUE(trace::matches_name(story, "my-key"));
-  EXPECT_TRUE(trace::matches_name(story, "relay-0-2"));
-  EXPECT_EQ(story.verdict, Verdict::retried);
-  EXPECT_EQ(story.steps.front().stream, id);
+  const MessageTrace& message_trace = all[1];
+  EXPECT_TRUE(trace::matches_name(message_trace, "my-key"));
+  EXPECT_TRUE(trace::matches_name(message_trace, "relay-0-2"));
+  EXPECT_EQ(message_trace.verdict, Verdict::retried);
+  EXPECT_EQ(message_trace.steps.front().stream, id);
   std::vector<std::pair<std::string, std::uint32_t>> traced, seen;
   std::string endpoint;
   int sends = 0;
-  for (const auto& x : story.steps) {
+  for (const auto& x : message_trace.steps) {
     if (x.what == What::carried) traced.emplace_back(endpoint, x.stream);
     if (x.what != What::send) continue;
     endpoint = x.endpoint, sends++;
@@ -254,8 +254,8 @@
     if (r.what == "HEADERS" && !r.sent && r.fields.count("topic") > 0) seen.emplace_back(r.place, r.stream);
   EXPECT_EQ(traced, seen);
   EXPECT_GE(sends, 2);
-  EXPECT_EQ(story.steps.back().what, What::answered);
-  const auto text = trace::format_trace(story);
+  EXPECT_EQ(message_trace.steps.back().what, What::answered);
+  const auto text = trace::format_trace(message_trace);
   EXPECT_NE(text.find("attempt 2 to c-"), std::string::npos) << text;
   EXPECT_NE(text.find("REFUSED_STREAM"), std::string::npos) << text;
 }
@@ -280,11 +280,11 @@
   run_until(s.loop, [&] { return s.node->core().held() == 0; });
   s.node.reset();
   std::map<Verdict, std::string> last;
-  for (const auto& story : stories_in(s.settings.trace_file))
-    for (const auto& x : story.steps)
+  for (const auto& message_trace : stories_in(s.settings.trace_file))
+    for (const auto& x : message_trace.steps)
       if (x.what == What::fail || x.what == What::answered || x.what == What::withdrawn)
-        if (x.what != What::answered || story.verdict == Verdict::turned_away)
-          last[story.verdict] = x.reason();
+        if (x.what != What::answered || message_trace.verdict == Verdict::turned_away)
+          last[message_trace.verdict] = x.reason();
   EXPECT_NE(last[Verdict::failed].find("may have run"), std::string::npos) << last[Verdict::failed];
   EXPECT_NE(last[Verdict::turned_away].find("all it may"), std::string::npos) << last[Verdict::turned_away];
   EXPECT_EQ(last.count(Verdict::withdrawn), 1u);
