--- a/bench/delivery_bench.cpp
+++ b/bench/delivery_bench.cpp
@@ -210,8 +210,8 @@
                          relay::Decider {
   void send(const relay::OutgoingCall&) override {}
   CancelResult cancel(relay::CallId) override { return CancelResult::sent; }
-  bool take_back(relay::CallId) override { return false; }
-  std::vector<relay::CallId> recall(const EndpointId&) override { return {}; }
+  bool cancel_unsent(relay::CallId) override { return false; }
+  std::vector<relay::CallId> cancel_all_unsent(const EndpointId&) override { return {}; }
   void close_idle(const EndpointId&) override {}
   void probe(const EndpointId&) override {}
   void served(MessageId, const relay::CallResult&) override {}
@@ -219,7 +219,7 @@
   void failed(MessageId, const relay::AttemptSummary&) override {}
   void fetch() override {}
   void subscribe(bool) override {}
-  void tell(int, const std::string&) override {}
+  void send_note(int, const std::string&) override {}
   void line(const std::string&) override {}
   void handle(Time, const std::vector<Event>&, std::vector<Action>&) override {}
 };
--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -76,8 +76,8 @@
 class NullTransport final : public relay::Transport, public relay::AnswerSink {
   void send(const relay::OutgoingCall&) override {}
   CancelResult cancel(relay::CallId) override { return CancelResult::sent; }
-  bool take_back(relay::CallId) override { return false; }
-  std::vector<relay::CallId> recall(const EndpointId&) override { return {}; }
+  bool cancel_unsent(relay::CallId) override { return false; }
+  std::vector<relay::CallId> cancel_all_unsent(const EndpointId&) override { return {}; }
   void close_idle(const EndpointId&) override {}
   void probe(const EndpointId&) override {}
   void served(MessageId, const relay::CallResult&) override {}
@@ -105,11 +105,11 @@
   MessageId id = 0;
   for (auto _ : state) {
     const auto m = message(++id);
-    coordinator.at(static_cast<Time>(id));
-    coordinator.taken(id, m, static_cast<Time>(id) + 10'000'000);
+    coordinator.set_time(static_cast<Time>(id));
+    coordinator.message_accepted(id, m, static_cast<Time>(id) + 10'000'000);
     coordinator.send({id, "bank-1", id, 0, 10'000'000, m});
     coordinator.mark_durable(next - 1);
-    coordinator.ended({id, "bank-1", id, 0, 0, nullptr}, {});
+    coordinator.attempt_ended({id, "bank-1", id, 0, 0, nullptr}, {});
     coordinator.served(id, {});
     coordinator.mark_durable(next - 1);
     if (id % 500 == 0) coordinator.compact(static_cast<Time>(id), 1'000);
--- a/fuzz/http2_fuzz.cpp
+++ b/fuzz/http2_fuzz.cpp
@@ -32,6 +32,6 @@
   c.take_output();
   cedarplank::record::Http2WireCapture capture(cedarplank::record::CaptureRecord::Side::client, "p", 1,
                                                !as_server, [](cedarplank::record::CaptureRecord&&) {});
-  capture.pass(1, false, bytes);
+  capture.process_bytes(1, false, bytes);
   return 0;
 }
--- a/lab/simulated_endpoints.cpp
+++ b/lab/simulated_endpoints.cpp
@@ -190,7 +190,7 @@
 
 // ---- rig::ScenarioEnvironment ----
 
-void Simulation::fault_begins(const std::string& id, const emulator::FaultSettings& f) {
+void Simulation::begin_fault(const std::string& id, const emulator::FaultSettings& f) {
   SimulatedEndpoint& e = endpoints_.at(id);
   partner(e).begin(id, clock.now(), f);
   if (f.fault == emulator::Fault::few_streams) announce_streams(id);
@@ -199,7 +199,7 @@
   for (const auto& c : conns) reset_connection(c);
 }
 
-void Simulation::fault_ends(const std::string& id, emulator::Fault f) {
+void Simulation::end_fault(const std::string& id, emulator::Fault f) {
   SimulatedEndpoint& e = endpoints_.at(id);
   partner(e).end(id, clock.now(), f);
   if (f == emulator::Fault::few_streams) announce_streams(id);
--- a/lab/simulated_relay.cpp
+++ b/lab/simulated_relay.cpp
@@ -132,7 +132,9 @@
 
 void SimulatedRelay::set_endpoints() { driver_->set_endpoints(registry_->list().endpoints); }
 
-void SimulatedRelay::tell(int whom, const std::string& body) { simulation_.send_note(rank_, whom, body); }
+void SimulatedRelay::send_note(int whom, const std::string& body) {
+  simulation_.send_note(rank_, whom, body);
+}
 
 std::unique_ptr<back::EndpointDriver> SimulatedRelay::make_driver() {
   return std::make_unique<back::EndpointDriver>(
--- a/lab/simulation_parts.hpp
+++ b/lab/simulation_parts.hpp
@@ -70,7 +70,7 @@
   void ping() override;
   void close() override;
   void drop() override;
-  std::optional<Capacity> room() override { return std::nullopt; }  // changes are reported as they occur
+  std::optional<Capacity> capacity() override { return std::nullopt; }  // changes are reported as they occur
   relay::CallResult ending_when_lost(relay::CallId call, const std::string& why) override;
 
  private:
@@ -131,7 +131,7 @@
   void subscribe(bool on) override {
     if (on) fetch();
   }
-  void tell(int whom, const std::string& body) override;
+  void send_note(int whom, const std::string& body) override;
   void line(const std::string&) override {}
 
   void run_soon(std::function<void()> f);
@@ -197,22 +197,22 @@
 
   // rig::ScenarioEnvironment.
   Time now() override { return clock.now(); }
-  void at(Time when, std::function<void()> f) override { clock.at(when, std::move(f)); }
-  void fault_begins(const std::string& id, const emulator::FaultSettings& f) override;
-  void fault_ends(const std::string& id, emulator::Fault f) override;
+  void run_at(Time when, std::function<void()> f) override { clock.at(when, std::move(f)); }
+  void begin_fault(const std::string& id, const emulator::FaultSettings& f) override;
+  void end_fault(const std::string& id, emulator::Fault f) override;
   std::string add_endpoint(std::size_t d, const emulator::EndpointSettings& settings) override;
   void stop_endpoint(const std::string& id) override;
   void vanish_endpoint(const std::string& id) override;
   void set_slowness(double times) override;
   void publish(const config::PartnerList& list, ListState how) override;
-  rig::LoadModel& load() override { return load_model_; }
+  rig::LoadModel& load_model() override { return load_model_; }
   std::string relay_name(int r) override { return relay(r).name(); }
   Time relay_started(int r) override { return relay(r).started(); }
   void crash(int r) override;
   void start(int r) override { relay(r).start(); }
   void stall(int r) override { relay(r).stall(); }
-  void go_on(int r) override { relay(r).resume(); }
-  void set_notes_lost(double share) override { notes_lost_ = share; }
+  void resume(int r) override { relay(r).resume(); }
+  void set_peer_loss(double share) override { notes_lost_ = share; }
 
  private:
   static rig::LoadSettings load_settings(const rig::Scenario& s) {
--- a/rig/client_protocol.cpp
+++ b/rig/client_protocol.cpp
@@ -31,7 +31,7 @@
       }
     }
   }
-  bool up() const override { return ready_; }
+  bool ready() const override { return ready_; }
   bool can_push() const override { return h2_.can_request(); }
   bool failed() const override { return h2_.failed(); }
   std::uint32_t push(Time, const Push& p) override {
@@ -82,7 +82,7 @@
       }
     }
   }
-  bool up() const override { return session_.bound(); }
+  bool ready() const override { return session_.bound(); }
   bool can_push() const override { return session_.can_request(); }
   bool failed() const override { return session_.state() == smpp::State::closed; }
   std::uint32_t push(Time now, const Push& p) override {
--- a/rig/client_protocol.hpp
+++ b/rig/client_protocol.hpp
@@ -38,7 +38,7 @@
   // The socket is connected: starts the protocol's handshake.
   virtual void connected(Time now) = 0;
   virtual void receive(Time now, std::string_view bytes, std::vector<ClientEvent>& client_events) = 0;
-  virtual bool up() const = 0;        // the handshake is done
+  virtual bool ready() const = 0;     // the handshake is done
   virtual bool can_push() const = 0;  // one more push is within the peer's limits
   virtual bool failed() const = 0;    // the connection can't be used any more
   // Returns the stream (SMPP: the sequence number) that identifies the push in later events.
--- a/rig/kill_test.cpp
+++ b/rig/kill_test.cpp
@@ -203,7 +203,7 @@
 
   void run_step() {
     const Time now = loop_.refresh_now();
-    if (stream_ && protocol_ && protocol_->up()) {
+    if (stream_ && protocol_ && protocol_->ready()) {
       for (auto& m : messages_) {
         if (!m->final.empty() || m->stream != 0 || m->not_before > now || !protocol_->can_push()) continue;
         result_.resent++;
--- a/rig/load_client.cpp
+++ b/rig/load_client.cpp
@@ -97,14 +97,14 @@
 void LoadClient::flush(Connection& l) {
   const std::string bytes = l.protocol->take_output();
   if (bytes.empty()) return;
-  if (l.capture) l.capture->pass(loop_.now(), true, bytes);
+  if (l.capture) l.capture->process_bytes(loop_.now(), true, bytes);
   l.stream->write(bytes);
 }
 
 void LoadClient::on_connection_lost(std::size_t index, std::uint64_t id) {
   Connection& l = connections_[index];
   if (l.id != id) return;
-  if (l.capture && l.up) l.capture->note(loop_.now(), "CLOSE");
+  if (l.capture && l.up) l.capture->record_connection_event(loop_.now(), "CLOSE");
   l.up = false;
   auto out = std::move(l.open_requests);
   l.open_requests.clear();
@@ -125,10 +125,10 @@
 void LoadClient::receive(std::size_t index, std::uint64_t id, std::string_view bytes) {
   Connection& l = connections_[index];
   if (l.id != id) return;
-  if (l.capture) l.capture->pass(loop_.now(), false, bytes);
+  if (l.capture) l.capture->process_bytes(loop_.now(), false, bytes);
   std::vector<ClientEvent> events;
   l.protocol->receive(loop_.now(), bytes, events);
-  l.up = l.protocol->up();
+  l.up = l.protocol->ready();
   for (const auto& h : events) on_event(l, h);
   flush(l);
   if (l.protocol->failed()) {
--- a/rig/scenario_run.cpp
+++ b/rig/scenario_run.cpp
@@ -64,11 +64,11 @@
   standin::Endpoint& endpoint(const std::string& id);
 
   Time now() override { return loop_.refresh_now(); }
-  void at(Time when, std::function<void()> f) override { loop_.at(when, std::move(f)); }
-  void fault_begins(const std::string& id, const emulator::FaultSettings& f) override {
+  void run_at(Time when, std::function<void()> f) override { loop_.at(when, std::move(f)); }
+  void begin_fault(const std::string& id, const emulator::FaultSettings& f) override {
     endpoint(id).begin(f);
   }
-  void fault_ends(const std::string& id, emulator::Fault f) override { endpoint(id).end(f); }
+  void end_fault(const std::string& id, emulator::Fault f) override { endpoint(id).end(f); }
   std::string add_endpoint(std::size_t d, const emulator::EndpointSettings& settings) override {
     auto fresh = settings;
     fresh.address = unused_loopback_address();
@@ -83,14 +83,14 @@
       for (auto& e : d->endpoints()) d->capacity_of(e->id()).set_service_factor(times);
   }
   void publish(const config::PartnerList& list, ListState how) override;
-  LoadModel& load() override { return client_->model(); }
+  LoadModel& load_model() override { return client_->model(); }
   std::string relay_name(int relay) override { return relay_at(relay).name; }
   Time relay_started(int relay) override { return relay_at(relay).started; }
   void crash(int relay) override { relay_at(relay).process->signal(SIGKILL); }
   void start(int relay) override { start_relay(relay_at(relay)); }
   void stall(int relay) override { relay_at(relay).process->signal(SIGSTOP); }
-  void go_on(int relay) override { relay_at(relay).process->signal(SIGCONT); }
-  void set_notes_lost(double share) override { note_loss_ = share; }
+  void resume(int relay) override { relay_at(relay).process->signal(SIGCONT); }
+  void set_peer_loss(double share) override { note_loss_ = share; }
   Relay& relay_at(int relay) { return relays_[static_cast<std::size_t>(relay)]; }
 
   const Scenario& scenario_;
--- a/rig/scenario_script.cpp
+++ b/rig/scenario_script.cpp
@@ -43,7 +43,7 @@
 }
 
 void ScenarioScript::schedule(Time after, std::function<void()> f) {
-  environment_.at(environment_.now() + after, [this, f = std::move(f)] {
+  environment_.run_at(environment_.now() + after, [this, f = std::move(f)] {
     if (!stopped_) f();
   });
 }
@@ -163,19 +163,19 @@
     case TroubleKind::fault:
       faulty_endpoints_[&t] = endpoints_of(t.on);
       for (const auto& id : faulty_endpoints_[&t]) {
-        environment_.fault_begins(id, t.fault.settings);
+        environment_.begin_fault(id, t.fault.settings);
         if (emulator::is_outage(t.fault.settings.fault, t.fault.settings.share)) record_outage(id, true);
       }
       return;
     case TroubleKind::burst:
-      return environment_.load().set_rate_multiplier(t.times);
+      return environment_.load_model().set_rate_multiplier(t.times);
     case TroubleKind::hot: {
       const auto& all = scenario_.load.destinations;
-      return environment_.load().set_hot_destination(
+      return environment_.load_model().set_hot_destination(
           static_cast<int>(std::find(all.begin(), all.end(), t.on[0]) - all.begin()), t.share);
     }
     case TroubleKind::greedy_tenant:
-      return environment_.load().set_greedy_tenant(t.tenant, t.times);
+      return environment_.load_model().set_greedy_tenant(t.tenant, t.times);
     case TroubleKind::deploy:
       return deploy(t);
     case TroubleKind::vanish:
@@ -202,7 +202,7 @@
           {environment_.relay_name(t.relay), environment_.now(), environment_.now() + t.lasts});
       return;
     case TroubleKind::notes_lost:
-      return environment_.set_notes_lost(t.share);
+      return environment_.set_peer_loss(t.share);
     case TroubleKind::shared_slow:
       return environment_.set_slowness(t.times);
   }
@@ -212,16 +212,16 @@
   switch (t.kind) {
     case TroubleKind::fault:
       for (const auto& id : faulty_endpoints_[&t]) {
-        environment_.fault_ends(id, t.fault.settings.fault);
+        environment_.end_fault(id, t.fault.settings.fault);
         if (emulator::is_outage(t.fault.settings.fault, t.fault.settings.share)) record_outage(id, false);
       }
       return;
     case TroubleKind::burst:
-      return environment_.load().set_rate_multiplier(1);
+      return environment_.load_model().set_rate_multiplier(1);
     case TroubleKind::hot:
-      return environment_.load().set_hot_destination(-1, 0);
+      return environment_.load_model().set_hot_destination(-1, 0);
     case TroubleKind::greedy_tenant:
-      return environment_.load().set_greedy_tenant(-1, 1);
+      return environment_.load_model().set_greedy_tenant(-1, 1);
     case TroubleKind::list_late:
       list_delay_ = 0;
       return;
@@ -234,12 +234,12 @@
     case TroubleKind::relay_crash:
       return environment_.start(t.relay);
     case TroubleKind::relay_stall:
-      environment_.go_on(t.relay);
+      environment_.resume(t.relay);
       for (auto& span : input_.stalls)
         if (span.relay == environment_.relay_name(t.relay)) span.to = std::max(span.to, environment_.now());
       return;
     case TroubleKind::notes_lost:
-      return environment_.set_notes_lost(0);
+      return environment_.set_peer_loss(0);
     case TroubleKind::shared_slow:
       return environment_.set_slowness(1);
     case TroubleKind::deploy:
--- a/rig/scenario_script.hpp
+++ b/rig/scenario_script.hpp
@@ -14,9 +14,9 @@
  public:
   virtual ~ScenarioEnvironment() = default;
   virtual Time now() = 0;
-  virtual void at(Time when, std::function<void()> f) = 0;
-  virtual void fault_begins(const std::string& endpoint, const emulator::FaultSettings& fault) = 0;
-  virtual void fault_ends(const std::string& endpoint, emulator::Fault fault) = 0;
+  virtual void run_at(Time when, std::function<void()> f) = 0;
+  virtual void begin_fault(const std::string& endpoint, const emulator::FaultSettings& fault) = 0;
+  virtual void end_fault(const std::string& endpoint, emulator::Fault fault) = 0;
   // Adds an endpoint to a destination and returns its address.
   virtual std::string add_endpoint(std::size_t destination, const emulator::EndpointSettings& settings) = 0;
   virtual void stop_endpoint(const std::string& endpoint) = 0;    // orderly, as in a deploy
@@ -25,14 +25,14 @@
   enum class ListState { complete, truncated, missing };
   // Puts the list where the relays read it: complete, truncated, or removed.
   virtual void publish(const config::PartnerList& list, ListState how) = 0;
-  virtual LoadModel& load() = 0;
+  virtual LoadModel& load_model() = 0;
   virtual std::string relay_name(int relay) = 0;
   virtual Time relay_started(int relay) = 0;
   virtual void crash(int relay) = 0;
   virtual void start(int relay) = 0;
   virtual void stall(int relay) = 0;  // the relay does nothing until it is resumed
-  virtual void go_on(int relay) = 0;
-  virtual void set_notes_lost(double share) = 0;  // share of the datagrams between relays that is lost
+  virtual void resume(int relay) = 0;
+  virtual void set_peer_loss(double share) = 0;  // share of the datagrams between relays that is lost
 };
 
 // Carries out the troubles of one scenario.
--- a/src/back/driver.cpp
+++ b/src/back/driver.cpp
@@ -128,7 +128,7 @@
 void EndpointDriver::update_capacity(Peer& peer) {
   for (auto& [n, c] : peer.links) {
     if (c.closing || !c.link) continue;
-    const auto capacity = c.link->room();
+    const auto capacity = c.link->capacity();
     if (!capacity) continue;
     peer.pool.set_streams_max(n, capacity->calls_max);
     peer.pool.set_blocked(n, capacity->blocked);
@@ -146,7 +146,7 @@
     if (p == nullptr || p->timer_at != due) return;
     p->timer_at = 0;
     for (auto& [n, c] : p->links)
-      if (c.link) c.link->tidy();
+      if (c.link) c.link->run_maintenance();
     pump(id);
   });
 }
@@ -267,7 +267,7 @@
   return CancelResult::sent;
 }
 
-bool EndpointDriver::take_back(CallId id) {
+bool EndpointDriver::cancel_unsent(CallId id) {
   const auto it = calls_.find(id);
   if (it == calls_.end() || it->second.link != 0) return false;
   if (Peer* peer = find(it->second.order.endpoint)) peer->pool.remove_waiting(id);
@@ -275,7 +275,7 @@
   return true;
 }
 
-std::vector<CallId> EndpointDriver::recall(const EndpointId& endpoint) {
+std::vector<CallId> EndpointDriver::cancel_all_unsent(const EndpointId& endpoint) {
   Peer* peer = find(endpoint);
   if (peer == nullptr) return {};
   auto ids = peer->pool.remove_all_waiting();
--- a/src/back/driver.hpp
+++ b/src/back/driver.hpp
@@ -48,8 +48,8 @@
 
   void send(const relay::OutgoingCall& call) override;
   CancelResult cancel(CallId call) override;
-  bool take_back(CallId call) override;
-  std::vector<CallId> recall(const EndpointId& endpoint) override;
+  bool cancel_unsent(CallId call) override;
+  std::vector<CallId> cancel_all_unsent(const EndpointId& endpoint) override;
   void close_idle(const EndpointId& endpoint) override;
   void probe(const EndpointId& endpoint) override;
 
--- a/src/back/link.hpp
+++ b/src/back/link.hpp
@@ -40,9 +40,9 @@
   // the driver.
   virtual void drop() = 0;
   // The connection's current capacity; nothing while the connection is not established.
-  virtual std::optional<Capacity> room() = 0;
+  virtual std::optional<Capacity> capacity() = 0;
   // Periodic housekeeping, called from the driver's timers.
-  virtual void tidy() {}
+  virtual void run_maintenance() {}
   // The outcome of an outstanding call after the connection was lost: whether any of it may have been sent.
   virtual relay::CallResult ending_when_lost(CallId call, const std::string& why) = 0;
 };
--- a/src/gateway/push_link.cpp
+++ b/src/gateway/push_link.cpp
@@ -40,10 +40,11 @@
 // No call is written behind bytes that the endpoint hasn't read yet, because such a call could no longer be
 // cancelled before it leaves.
 bool PushLink::can_send() const {
-  return h2_.can_request() && stream_->queued() == stream_->flushed() && h2_.unsent_body_bytes() == 0;
+  return h2_.can_request() && stream_->bytes_written() == stream_->bytes_flushed() &&
+         h2_.unsent_body_bytes() == 0;
 }
 
-std::optional<back::Link::Capacity> PushLink::room() {
+std::optional<back::Link::Capacity> PushLink::capacity() {
   if (!h2_.established()) return std::nullopt;
   // Streams whose response body is still being received count too; the pool doesn't know of them.
   const bool full = h2_.open_streams() >= static_cast<std::size_t>(settings_.endpoint_streams_max);
@@ -71,7 +72,7 @@
   add("content-encoding", m.content_encoding);
   headers.push_back({"content-length", std::to_string(m.body.size())});
   SentCall out;
-  out.begin_offset = stream_->queued() + h2_.output_size();
+  out.begin_offset = stream_->bytes_written() + h2_.output_size();
   out.stream = h2_.request(headers, m.body);
   calls_by_stream_[out.stream] = call.id, sent_calls_[call.id] = out;
   flush();
@@ -99,7 +100,7 @@
     host_.log("endpoint " + endpoint_.id + ": " + why);
     return driver_.connection_closed(endpoint_.id, id_, why);
   }
-  tidy();
+  run_maintenance();
   driver_.pump(endpoint_.id);
 }
 
@@ -156,7 +157,7 @@
 }
 
 // Resets streams whose response body doesn't end in time; they would count against the stream limit for ever.
-void PushLink::tidy() {
+void PushLink::run_maintenance() {
   for (auto it = unfinished_responses_.begin(); it != unfinished_responses_.end();) {
     const auto [stream, tail] = *it;
     const bool late = loop_.now() - tail.first > settings_.stalled_after;
@@ -189,7 +190,7 @@
 relay::CallResult PushLink::ending_when_lost(relay::CallId call, const std::string& why) {
   const auto it = sent_calls_.find(call);
   // If not a byte of it was handed to the kernel, the call can't have run.
-  const bool may_have_left = it == sent_calls_.end() || stream_->flushed() > it->second.begin_offset;
+  const bool may_have_left = it == sent_calls_.end() || stream_->bytes_flushed() > it->second.begin_offset;
   return result_of_interruption(may_have_left ? Interruption::reset : Interruption::unsent,
                                 http2::ErrorCode::no_error, why);
 }
--- a/src/gateway/push_link.hpp
+++ b/src/gateway/push_link.hpp
@@ -34,8 +34,8 @@
   void ping() override;
   void close() override;
   void drop() override { stream_->close(); }
-  std::optional<Capacity> room() override;
-  void tidy() override;
+  std::optional<Capacity> capacity() override;
+  void run_maintenance() override;
   relay::CallResult ending_when_lost(relay::CallId call, const std::string& why) override;
 
  private:
--- a/src/gateway/push_server.cpp
+++ b/src/gateway/push_server.cpp
@@ -96,7 +96,7 @@
   c.stream->write(c.h2.take_output());
   // Reads no more requests from a client that doesn't read its answers, so that the answers held for it stay
   // bounded.
-  if (!c.paused && c.stream->queued() - c.stream->flushed() > kMaxUnsentAnswerBytes) {
+  if (!c.paused && c.stream->bytes_written() - c.stream->bytes_flushed() > kMaxUnsentAnswerBytes) {
     c.paused = true;
     c.stream->pause_reading(true);
   }
@@ -241,7 +241,7 @@
 // crash.
 void PushServer::answer_when_durable(MessageId id, ClientId client, http2::StreamId stream) {
   host_.message_registry->keep_answer(id);
-  host_.message_registry->when_taken(id, [this, id, client, stream, alive = alive_] {
+  host_.message_registry->when_durable(id, [this, id, client, stream, alive = alive_] {
     if (!*alive) return;
     const auto it = waiting_requests_.find(id);
     // Answered meanwhile, or its client left.
@@ -304,7 +304,7 @@
       path.substr(0, name.size() + 1) == name + "-") {
     const auto digits = path.substr(name.size() + 1);
     if (digits.find_first_not_of("0123456789") == std::string_view::npos)
-      found = host_.message_registry->look(std::strtoull(std::string(digits).c_str(), nullptr, 10));
+      found = host_.message_registry->find_by_id(std::strtoull(std::string(digits).c_str(), nullptr, 10));
   }
   // A message of another tenant is answered as if it didn't exist.
   if (!settings_.tenant_field.empty() &&
@@ -318,7 +318,7 @@
       // 410 for the request that waits for it.
       answer_waiting_request(found.id, {{":status", "410"}}), host_.withdraw(found.id);
     else
-      host_.message_registry->handed_over(found.id);
+      host_.message_registry->answer_delivered(found.id);
     answer(c, e.stream, {{":status", "204"}});
   } else if (method != "GET") {
     answer_problem(c, e.stream, {405, title_of(405), "a message is asked for by GET and withdrawn by DELETE"},
@@ -405,7 +405,8 @@
 bool PushServer::drained() const {
   if (!waiting_requests_.empty()) return false;
   return std::all_of(clients_.begin(), clients_.end(), [](const auto& c) {
-    return c.second->stream->queued() == c.second->stream->flushed() && c.second->h2.unsent_body_bytes() == 0;
+    return c.second->stream->bytes_written() == c.second->stream->bytes_flushed() &&
+           c.second->h2.unsent_body_bytes() == 0;
   });
 }
 
@@ -427,9 +428,10 @@
   const Time now = loop_.now(), limit = settings_.stalled_after;
   std::vector<ClientId> stalled;
   for (auto& [id, c] : clients_) {
-    const bool owed = c->stream->queued() > c->stream->flushed() || c->h2.unsent_body_bytes() > 0;
-    if (!owed || c->stream->flushed() != c->flushed_at_progress)
-      c->progress_at = now, c->flushed_at_progress = c->stream->flushed();
+    const bool owed =
+        c->stream->bytes_written() > c->stream->bytes_flushed() || c->h2.unsent_body_bytes() > 0;
+    if (!owed || c->stream->bytes_flushed() != c->flushed_at_progress)
+      c->progress_at = now, c->flushed_at_progress = c->stream->bytes_flushed();
     if (now - c->progress_at > limit) {
       stalled.push_back(id);
       continue;
--- a/src/journal/coordinator.cpp
+++ b/src/journal/coordinator.cpp
@@ -48,7 +48,7 @@
 }
 
 void JournalCoordinator::write_base(const record::Base& base, Time now) {
-  at(now);
+  set_time(now);
   write_record({now_, base});
 }
 
@@ -106,8 +106,9 @@
 
 // ---- messages and attempts ----
 
-void JournalCoordinator::taken(MessageId id, const std::shared_ptr<const relay::NewMessage>& message,
-                               Time deadline) {
+void JournalCoordinator::message_accepted(MessageId id,
+                                          const std::shared_ptr<const relay::NewMessage>& message,
+                                          Time deadline) {
   record::Taken r;
   r.id = id, r.message = message, r.deadline = deadline;
   r.destination = ports_.destination_name(message->destination);
@@ -143,7 +144,7 @@
                          0});
 }
 
-void JournalCoordinator::ended(const relay::OutgoingCall& call, const relay::CallResult& ending) {
+void JournalCoordinator::attempt_ended(const relay::OutgoingCall& call, const relay::CallResult& ending) {
   // The wait is written first, so that no send decided later can be durable without it.
   if (ending.told_wait > 0) write_record({now_, record::Told{call.endpoint, now_ + ending.told_wait}});
   if (ending.outcome == Outcome::served) return;  // recorded with the answer, or the message already had one
@@ -151,12 +152,12 @@
                                     ending.detail}});
 }
 
-void JournalCoordinator::withdrawn(MessageId id) {
+void JournalCoordinator::message_withdrawn(MessageId id) {
   answers_to_keep_.erase(id);
   write_record({now_, record::Gone{id}});
 }
 
-void JournalCoordinator::seen(const action::Seen& s) {
+void JournalCoordinator::endpoint_health_changed(const action::Seen& s) {
   write_record({now_, record::Seen{s.endpoint, s.health, now_ - s.for_so_long, s.usual_rate}});
 }
 
@@ -174,12 +175,12 @@
   return drop_held_back_call(call) ? CancelResult::queued : ports_.transport.cancel(call);
 }
 
-bool JournalCoordinator::take_back(relay::CallId call) {
-  return drop_held_back_call(call) || ports_.transport.take_back(call);
+bool JournalCoordinator::cancel_unsent(relay::CallId call) {
+  return drop_held_back_call(call) || ports_.transport.cancel_unsent(call);
 }
 
-std::vector<relay::CallId> JournalCoordinator::recall(const EndpointId& endpoint) {
-  auto calls = ports_.transport.recall(endpoint);
+std::vector<relay::CallId> JournalCoordinator::cancel_all_unsent(const EndpointId& endpoint) {
+  auto calls = ports_.transport.cancel_all_unsent(endpoint);
   std::vector<relay::CallId> held_back;
   for (const auto& [call, at] : endpoint_by_call_)
     if (at == endpoint) held_back.push_back(call);
@@ -244,7 +245,7 @@
 // ---- compaction ----
 
 bool JournalCoordinator::compact(Time now, std::size_t max_items, bool low_on_space) {
-  at(now);
+  set_time(now);
   std::size_t done = 0;
   while (done < max_items && !failed_) {
     const MessageId expired =
--- a/src/journal/coordinator.hpp
+++ b/src/journal/coordinator.hpp
@@ -129,17 +129,18 @@
   const StateImage& image() const { return image_; }
   std::uint64_t bytes_written() const { return bytes_written_; }  // including the records of earlier runs
   // relay::CoreObserver
-  void at(Time now) override { now_ = std::max(now_, now); }
-  void taken(MessageId id, const std::shared_ptr<const relay::NewMessage>& message, Time deadline) override;
-  void ended(const relay::OutgoingCall& call, const relay::CallResult& ending) override;
-  void withdrawn(MessageId id) override;
-  void seen(const action::Seen& seen) override;
+  void set_time(Time now) override { now_ = std::max(now_, now); }
+  void message_accepted(MessageId id, const std::shared_ptr<const relay::NewMessage>& message,
+                        Time deadline) override;
+  void attempt_ended(const relay::OutgoingCall& call, const relay::CallResult& ending) override;
+  void message_withdrawn(MessageId id) override;
+  void endpoint_health_changed(const action::Seen& seen) override;
   // relay::Transport
   void send(const relay::OutgoingCall& call) override;
   CancelResult cancel(relay::CallId call) override;
-  bool take_back(relay::CallId call) override;
-  bool withhold(relay::CallId call) override { return ports_.transport.withhold(call); }
-  std::vector<relay::CallId> recall(const EndpointId& endpoint) override;
+  bool cancel_unsent(relay::CallId call) override;
+  bool cancel_buffered(relay::CallId call) override { return ports_.transport.cancel_buffered(call); }
+  std::vector<relay::CallId> cancel_all_unsent(const EndpointId& endpoint) override;
   void close_idle(const EndpointId& endpoint) override { ports_.transport.close_idle(endpoint); }
   void probe(const EndpointId& endpoint) override { ports_.transport.probe(endpoint); }
   // relay::AnswerSink
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -74,8 +74,8 @@
   // Buffers what the kernel does not accept at once.
   virtual void write(std::string_view bytes) = 0;
   // Bytes passed to write() so far, and those of them that have been handed to the kernel.
-  virtual std::uint64_t queued() const = 0;
-  virtual std::uint64_t flushed() const = 0;
+  virtual std::uint64_t bytes_written() const = 0;
+  virtual std::uint64_t bytes_flushed() const = 0;
   virtual void pause_reading(bool paused) = 0;
   // Sends what was written and shuts down the sending side; the stream ends when the peer closes it, or after
   // `linger` microseconds. `closed` is still called.
@@ -94,8 +94,8 @@
   ~TcpStream() override;
 
   void write(std::string_view bytes) override;
-  std::uint64_t queued() const override { return bytes_written_; }
-  std::uint64_t flushed() const override { return bytes_flushed_; }
+  std::uint64_t bytes_written() const override { return bytes_written_; }
+  std::uint64_t bytes_flushed() const override { return bytes_flushed_; }
   void pause_reading(bool paused) override;
   void finish(Time linger) override;
   void close(bool abort = false) override;
--- a/src/node/journal.cpp
+++ b/src/node/journal.cpp
@@ -190,7 +190,7 @@
 
 }  // namespace
 
-relay::MessageRegistry::Entry JournalMessageRegistry::look(MessageId id) const {
+relay::MessageRegistry::Entry JournalMessageRegistry::find_by_id(MessageId id) const {
   return entry_of(journal_->coordinator(), id);
 }
 
@@ -212,10 +212,10 @@
   return e;
 }
 
-void JournalMessageRegistry::when_taken(MessageId id, std::function<void()> then) {
+void JournalMessageRegistry::when_durable(MessageId id, std::function<void()> then) {
   journal_->coordinator().when_durable(id, std::move(then));
 }
 void JournalMessageRegistry::keep_answer(MessageId id) { journal_->coordinator().keep_answer(id); }
-void JournalMessageRegistry::handed_over(MessageId id) { journal_->coordinator().answer_delivered(id); }
+void JournalMessageRegistry::answer_delivered(MessageId id) { journal_->coordinator().answer_delivered(id); }
 
 }  // namespace cedarplank::node
--- a/src/node/journal.hpp
+++ b/src/node/journal.hpp
@@ -75,10 +75,10 @@
   explicit JournalMessageRegistry(const std::unique_ptr<Journal>& journal) : journal_(journal) {}
   Entry find(const std::string& tenant, const std::string& destination, const std::string& message_class,
              const relay::NewMessage& message) const override;
-  Entry look(MessageId id) const override;
-  void when_taken(MessageId id, std::function<void()> then) override;
+  Entry find_by_id(MessageId id) const override;
+  void when_durable(MessageId id, std::function<void()> then) override;
   void keep_answer(MessageId id) override;
-  void handed_over(MessageId id) override;
+  void answer_delivered(MessageId id) override;
 
  private:
   const std::unique_ptr<Journal>& journal_;
--- a/src/node/peer_notes.cpp
+++ b/src/node/peer_notes.cpp
@@ -22,7 +22,7 @@
       });
 }
 
-void PeerNotes::tell(int whom, const std::string& body) {
+void PeerNotes::send_note(int whom, const std::string& body) {
   if (!datagrams_ || body.size() > kMaxBodyBytes) return;
   std::string bytes(kMagic);
   http2::put_u32(static_cast<std::uint32_t>(rank_), bytes);
--- a/src/node/peer_notes.hpp
+++ b/src/node/peer_notes.hpp
@@ -17,7 +17,7 @@
   PeerNotes(loop::Loop& loop, const config::RelaySettings& settings, Received received);
   // Sends the note to the relay of that rank, or to all peers if `whom` is negative. Notes above the size
   // limit are dropped.
-  void tell(int whom, const std::string& body) override;
+  void send_note(int whom, const std::string& body) override;
   std::string address() const { return datagrams_ ? datagrams_->address().text() : ""; }
 
  private:
--- a/src/platform/attempt_log.cpp
+++ b/src/platform/attempt_log.cpp
@@ -39,7 +39,7 @@
   coordinator_.send(call);
 }
 
-void AttemptLog::ended(const relay::OutgoingCall& call, const relay::CallResult& ending) {
+void AttemptLog::attempt_ended(const relay::OutgoingCall& call, const relay::CallResult& ending) {
   if (ending.outcome != Outcome::served || followed_.count(call.message_id) > 0)
     log_.line(Event::attempt, client_id_of_(call.message_id), [&] {
       std::string text = text_of(call.attempt, call.endpoint) + " outcome=" + name_of(ending.outcome) +
@@ -50,7 +50,7 @@
   if (ending.retry_status != relay::RetryStatus::allowed)
     log_.line(Event::said_over, client_id_of_(call.message_id),
               [&] { return text_of(call.attempt, call.endpoint) + " why=\"" + ending.detail + "\""; });
-  coordinator_.ended(call, ending);
+  coordinator_.attempt_ended(call, ending);
 }
 
 }  // namespace cedarplank::platform
--- a/src/platform/attempt_log.hpp
+++ b/src/platform/attempt_log.hpp
@@ -26,21 +26,24 @@
   // relay::Transport
   void send(const relay::OutgoingCall& call) override;
   CancelResult cancel(relay::CallId call) override { return coordinator_.cancel(call); }
-  bool take_back(relay::CallId call) override { return coordinator_.take_back(call); }
-  bool withhold(relay::CallId call) override { return coordinator_.withhold(call); }
-  std::vector<relay::CallId> recall(const EndpointId& endpoint) override {
-    return coordinator_.recall(endpoint);
+  bool cancel_unsent(relay::CallId call) override { return coordinator_.cancel_unsent(call); }
+  bool cancel_buffered(relay::CallId call) override { return coordinator_.cancel_buffered(call); }
+  std::vector<relay::CallId> cancel_all_unsent(const EndpointId& endpoint) override {
+    return coordinator_.cancel_all_unsent(endpoint);
   }
   void close_idle(const EndpointId& endpoint) override { coordinator_.close_idle(endpoint); }
   void probe(const EndpointId& endpoint) override { coordinator_.probe(endpoint); }
   // relay::CoreObserver
-  void at(Time now) override { coordinator_.at(now); }
-  void taken(MessageId id, const std::shared_ptr<const relay::NewMessage>& message, Time deadline) override {
-    coordinator_.taken(id, message, deadline);
+  void set_time(Time now) override { coordinator_.set_time(now); }
+  void message_accepted(MessageId id, const std::shared_ptr<const relay::NewMessage>& message,
+                        Time deadline) override {
+    coordinator_.message_accepted(id, message, deadline);
+  }
+  void attempt_ended(const relay::OutgoingCall& call, const relay::CallResult& ending) override;
+  void message_withdrawn(MessageId id) override { coordinator_.message_withdrawn(id); }
+  void endpoint_health_changed(const action::Seen& seen) override {
+    coordinator_.endpoint_health_changed(seen);
   }
-  void ended(const relay::OutgoingCall& call, const relay::CallResult& ending) override;
-  void withdrawn(MessageId id) override { coordinator_.withdrawn(id); }
-  void seen(const action::Seen& seen) override { coordinator_.seen(seen); }
 
  private:
   journal::JournalCoordinator& coordinator_;
--- a/src/platform/endpoint_transport.cpp
+++ b/src/platform/endpoint_transport.cpp
@@ -116,7 +116,7 @@
   const std::string request = called.size() == 1 ? single_call(called.front(), budget, conn->address)
                                                  : bulk_call(called, budget, conn->address);
   conn->message_count = called.size(), conn->writing_started = true;
-  conn->end_offset = conn->stream->queued() + request.size(), conn->last_byte = request.back();
+  conn->end_offset = conn->stream->bytes_written() + request.size(), conn->last_byte = request.back();
   conn->stream->write(std::string_view(request).substr(0, request.size() - 1));
   conn->timer = loop_.after(kLastByteDelay, [this, conn] {
     conn->timer = 0;
@@ -219,7 +219,7 @@
 }
 
 bool EndpointTransport::cannot_have_run(const Connection& conn) const {
-  return !conn.writing_started || conn.stream->flushed() < conn.end_offset;
+  return !conn.writing_started || conn.stream->bytes_flushed() < conn.end_offset;
 }
 
 void EndpointTransport::handle_data(const ConnectionPtr& conn, std::string_view bytes) {
@@ -387,7 +387,7 @@
   return whole ? CancelResult::sent : up ? CancelResult::queued : CancelResult::connecting;
 }
 
-bool EndpointTransport::take_back(relay::CallId call) {
+bool EndpointTransport::cancel_unsent(relay::CallId call) {
   const auto it = calls_.find(call);
   if (it == calls_.end()) return cancel(call) == CancelResult::queued;
   if (!cannot_have_run(*it->second)) return false;
@@ -396,7 +396,7 @@
 }
 
 // A call of several messages is not withheld: the others are still waited for.
-bool EndpointTransport::withhold(relay::CallId call) {
+bool EndpointTransport::cancel_buffered(relay::CallId call) {
   const auto it = calls_.find(call);
   if (it == calls_.end() || it->second->members.size() > 1 || !it->second->stream->has_unacknowledged_data())
     return false;
@@ -404,7 +404,7 @@
   return true;
 }
 
-std::vector<relay::CallId> EndpointTransport::recall(const EndpointId& endpoint) {
+std::vector<relay::CallId> EndpointTransport::cancel_all_unsent(const EndpointId& endpoint) {
   std::vector<relay::CallId> back;
   std::erase_if(queued_,
                 [&](const auto& o) { return o.endpoint == endpoint && (back.push_back(o.id), true); });
--- a/src/platform/endpoint_transport.hpp
+++ b/src/platform/endpoint_transport.hpp
@@ -51,9 +51,9 @@
   // relay::Transport
   void send(const relay::OutgoingCall& call) override;
   CancelResult cancel(relay::CallId call) override;
-  bool take_back(relay::CallId call) override;
-  bool withhold(relay::CallId call) override;
-  std::vector<relay::CallId> recall(const EndpointId& endpoint) override;
+  bool cancel_unsent(relay::CallId call) override;
+  bool cancel_buffered(relay::CallId call) override;
+  std::vector<relay::CallId> cancel_all_unsent(const EndpointId& endpoint) override;
   void close_idle(const EndpointId& endpoint) override;
   void probe(const EndpointId&) override {}  // the platform's protocol has no probes
 
--- a/src/platform/peers.cpp
+++ b/src/platform/peers.cpp
@@ -18,7 +18,7 @@
       });
 }
 
-void Peers::tell(int whom, const std::string& body) {
+void Peers::send_note(int whom, const std::string& body) {
   if (!datagrams_ || body.empty() || body.size() > kMaxNoteBytes) return;
   if (whom >= 0) {
     if (whom != own_rank_ && static_cast<std::size_t>(whom) < peers_.size())
--- a/src/platform/peers.hpp
+++ b/src/platform/peers.hpp
@@ -20,7 +20,7 @@
   Peers(loop::Loop& loop, const Config& config, Received received);
 
   // relay::Notes: to the peer of rank `whom`, or to all peers if it is negative.
-  void tell(int whom, const std::string& body) override;
+  void send_note(int whom, const std::string& body) override;
 
  private:
   static constexpr std::size_t kMaxNoteBytes = 256;
--- a/src/record/smpp_wire_capture.cpp
+++ b/src/record/smpp_wire_capture.cpp
@@ -39,9 +39,9 @@
                                  Sink sink, ClientContext client)
     : WireCapture(side, std::move(place), connection, std::move(sink)), client_context_(std::move(client)) {}
 
-void SmppWireCapture::note(Time at, const char* what) {
+void SmppWireCapture::record_connection_event(Time at, const char* what) {
   if (side_ == CaptureRecord::Side::endpoint || std::string_view(what) != "CLOSE")
-    return WireCapture::note(at, what);
+    return WireCapture::record_connection_event(at, what);
   for (const auto& [stream, call] : messages_by_stream_) {
     if (call.answered_parts > 0) continue;
     CaptureRecord r = make_record(at, true, "RST_STREAM", stream);  // the client has given the message up
@@ -50,7 +50,7 @@
   }
 }
 
-void SmppWireCapture::pass(Time at, bool sent, std::string_view bytes) {
+void SmppWireCapture::process_bytes(Time at, bool sent, std::string_view bytes) {
   auto& framer = sent ? out_ : in_;
   framer.receive(bytes);
   while (const auto one = framer.next()) {
--- a/src/record/smpp_wire_capture.hpp
+++ b/src/record/smpp_wire_capture.hpp
@@ -27,10 +27,10 @@
   };
   SmppWireCapture(CaptureRecord::Side side, std::string place, std::uint64_t connection, Sink sink,
                   ClientContext client = {});
-  void pass(Time at, bool sent, std::string_view bytes) override;
+  void process_bytes(Time at, bool sent, std::string_view bytes) override;
   // On CLOSE at a client, records a reset for the submits without a response. Those that have a message id
   // can still be answered by the relay.
-  void note(Time at, const char* what) override;
+  void record_connection_event(Time at, const char* what) override;
 
  private:
   // A message of one or more parts.
--- a/src/record/wire_capture.cpp
+++ b/src/record/wire_capture.cpp
@@ -104,9 +104,11 @@
   return r;
 }
 
-void WireCapture::note(Time at, const char* what) { sink_(make_record(at, true, what, 0)); }
+void WireCapture::record_connection_event(Time at, const char* what) {
+  sink_(make_record(at, true, what, 0));
+}
 
-void Http2WireCapture::pass(Time at, bool sent, std::string_view bytes) {
+void Http2WireCapture::process_bytes(Time at, bool sent, std::string_view bytes) {
   Direction& d = sent ? out_ : in_;
   if (d.undecodable) return;
   d.bytes.append(bytes);
--- a/src/record/wire_capture.hpp
+++ b/src/record/wire_capture.hpp
@@ -53,9 +53,9 @@
       : side_(side), place_(std::move(place)), connection_(connection), sink_(std::move(sink)) {}
   virtual ~WireCapture() = default;
   // Takes the next bytes that were sent or received on the connection.
-  virtual void pass(Time at, bool sent, std::string_view bytes) = 0;
+  virtual void process_bytes(Time at, bool sent, std::string_view bytes) = 0;
   // Records the opening ("OPEN") or closing ("CLOSE") of the connection.
-  virtual void note(Time at, const char* what);
+  virtual void record_connection_event(Time at, const char* what);
 
  protected:
   // A record with this connection's data filled in.
@@ -73,7 +73,7 @@
   // `client_end`: whether the recording side is the HTTP/2 client, which sends the connection preface.
   Http2WireCapture(CaptureRecord::Side side, std::string place, std::uint64_t connection, bool client_end,
                    Sink sink);
-  void pass(Time at, bool sent, std::string_view bytes) override;
+  void process_bytes(Time at, bool sent, std::string_view bytes) override;
 
  private:
   struct Direction {
--- a/src/relay/core.cpp
+++ b/src/relay/core.cpp
@@ -63,7 +63,8 @@
   message.time_left = std::min(message.time_left, cls.deadline);
   m.deadline = now + message.time_left;
   m.message = std::make_shared<const NewMessage>(std::move(message));
-  if (ports_.observer != nullptr) ports_.observer->at(now), ports_.observer->taken(id, m.message, m.deadline);
+  if (ports_.observer != nullptr)
+    ports_.observer->set_time(now), ports_.observer->message_accepted(id, m.message, m.deadline);
   // The event carries the deadline, which is converted to the time left when the round is run.
   events_.push_back(event::Arrival{id, m.message->destination, m.message->message_class, m.message->tenant,
                                    m.deadline, m.message->order_key, m.message->repeat});
@@ -98,7 +99,7 @@
   it->second.ended = true;
   held_--, counts_.withdrawn++;
   trace_end(now_, id, trace::Verdict::withdrawn);
-  if (ports_.observer != nullptr) ports_.observer->at(now_), ports_.observer->withdrawn(id);
+  if (ports_.observer != nullptr) ports_.observer->set_time(now_), ports_.observer->message_withdrawn(id);
   events_.push_back(event::Withdrawn{id});
   const auto& cls = settings_.classes[static_cast<std::size_t>(it->second.message->message_class)];
   AttemptHistory history = it->second.history;
@@ -117,9 +118,9 @@
   if (at == messages_.end()) return;
   const auto out = at->second.calls_out;
   for (const CallId call : out) {
-    if (ports_.transport.take_back(call))
+    if (ports_.transport.cancel_unsent(call))
       end_call(now_, calls_.find(call), {Outcome::not_sent, 0, {}, "the message was over", {}});
-    else if (ports_.transport.withhold(call))
+    else if (ports_.transport.cancel_buffered(call))
       end_call(now_, calls_.find(call), {Outcome::cancelled, 0, {}, "the message was over", {}});
   }
 }
@@ -166,7 +167,7 @@
 // Calls of which nothing has been sent are reported to the module as not sent, which proves that they never
 // ran.
 void Core::end_unsent_calls(const EndpointId& endpoint) {
-  for (const CallId id : ports_.transport.recall(endpoint)) {
+  for (const CallId id : ports_.transport.cancel_all_unsent(endpoint)) {
     const auto it = calls_.find(id);
     if (it != calls_.end())
       end_call(now_, it, {Outcome::not_sent, 0, {}, "called back before it was sent", {}});
@@ -204,8 +205,9 @@
   });
   const auto at = messages_.find(call.message);
   if (ports_.observer != nullptr) {
-    ports_.observer->at(now);
-    ports_.observer->ended({id, call.endpoint, call.message, call.attempt, 0, nullptr, call.zone}, ending);
+    ports_.observer->set_time(now);
+    ports_.observer->attempt_ended({id, call.endpoint, call.message, call.attempt, 0, nullptr, call.zone},
+                                   ending);
   }
   auto& stats = outcome_stats_[static_cast<std::size_t>(ending.outcome)];
   stats.calls++, stats.latency += now - call.sent;
@@ -305,7 +307,7 @@
   while (!send_by_.empty() && send_by_.begin()->first <= now) {
     const CallId id = send_by_.begin()->second;
     send_by_.erase(send_by_.begin());
-    if (ports_.transport.take_back(id))
+    if (ports_.transport.cancel_unsent(id))
       end_call(now, calls_.find(id), {Outcome::not_sent, 0, {}, "its key's time was over", {}});
   }
   if (now < last_round_ + settings_.tick) return;
@@ -318,7 +320,7 @@
   last_round_ = now, round_++;
   std::vector<Event> events;
   events.swap(events_);
-  if (ports_.observer != nullptr) ports_.observer->at(now);
+  if (ports_.observer != nullptr) ports_.observer->set_time(now);
   // Arrival events hold the deadline until here; the module gets the time left at this round.
   for (auto& e : events)
     if (auto* arrival = std::get_if<event::Arrival>(&e))
@@ -426,11 +428,11 @@
     } else if (const auto* p = std::get_if<action::Probe>(&any)) {
       ports_.transport.probe(p->endpoint);
     } else if (const auto* n = std::get_if<action::TellPeer>(&any)) {
-      ports_.peer_channel.tell(n->whom, n->body);
+      ports_.peer_channel.send_note(n->whom, n->body);
     } else if (const auto* l = std::get_if<action::Log>(&any)) {
       ports_.log.line(l->text);
     } else if (const auto* k = std::get_if<action::Seen>(&any)) {
-      if (ports_.observer != nullptr) ports_.observer->seen(*k);
+      if (ports_.observer != nullptr) ports_.observer->endpoint_health_changed(*k);
     }
   }
   round_bundles_.clear();
@@ -441,7 +443,7 @@
 void Core::end_overdue(Time now) { end_messages_due(now, now); }
 
 void Core::end_messages_due(Time now, Time until) {
-  if (ports_.observer != nullptr) ports_.observer->at(now);
+  if (ports_.observer != nullptr) ports_.observer->set_time(now);
   std::vector<MessageId> ids;
   for (const auto& [id, m] : messages_)
     if (!m.ended && m.deadline <= until) ids.push_back(id);
--- a/src/relay/core.hpp
+++ b/src/relay/core.hpp
@@ -90,15 +90,15 @@
   // Cancels the call. Nothing is reported for it afterwards, unless it is kept with its bundle.
   virtual CancelResult cancel(CallId call) = 0;
   // Cancels a call of which nothing has been sent yet. False if some of it has, or if the call is unknown.
-  virtual bool take_back(CallId call) = 0;
+  virtual bool cancel_unsent(CallId call) = 0;
   // Cancels a call that has been written but of which bytes are still in this machine's buffers; those are
   // discarded. False if no bytes are buffered, or if the call is unknown.
-  virtual bool withhold(CallId call) {
+  virtual bool cancel_buffered(CallId call) {
     static_cast<void>(call);
     return false;
   }
   // Cancels all calls to the endpoint of which nothing has been sent yet, and returns them.
-  virtual std::vector<CallId> recall(const EndpointId& endpoint) = 0;
+  virtual std::vector<CallId> cancel_all_unsent(const EndpointId& endpoint) = 0;
   // Closes the connections to the endpoint that have no calls out.
   virtual void close_idle(const EndpointId& endpoint) = 0;
   // Checks whether the endpoint answers; the result goes to Core::probe_ended().
@@ -137,7 +137,7 @@
 class PeerChannel {
  public:
   virtual ~PeerChannel() = default;
-  virtual void tell(int peer, const std::string& body) = 0;  // -1: every peer; may be lost
+  virtual void send_note(int peer, const std::string& body) = 0;  // -1: every peer; may be lost
 };
 
 // Receives the decision module's log lines.
@@ -160,11 +160,12 @@
 class CoreObserver {
  public:
   virtual ~CoreObserver() = default;
-  virtual void at(Time now) = 0;  // sets the time of the reports that follow
-  virtual void taken(MessageId id, const std::shared_ptr<const NewMessage>& message, Time deadline) = 0;
-  virtual void ended(const OutgoingCall& call, const CallResult& ending) = 0;
-  virtual void withdrawn(MessageId id) = 0;
-  virtual void seen(const action::Seen& seen) = 0;
+  virtual void set_time(Time now) = 0;  // sets the time of the reports that follow
+  virtual void message_accepted(MessageId id, const std::shared_ptr<const NewMessage>& message,
+                                Time deadline) = 0;
+  virtual void attempt_ended(const OutgoingCall& call, const CallResult& ending) = 0;
+  virtual void message_withdrawn(MessageId id) = 0;
+  virtual void endpoint_health_changed(const action::Seen& seen) = 0;
 };
 
 // Interface to the decision module, so that tests can substitute a decider that breaks a rule.
--- a/src/relay/message_registry.hpp
+++ b/src/relay/message_registry.hpp
@@ -32,13 +32,13 @@
   virtual Entry find(const std::string& tenant, const std::string& destination,
                      const std::string& message_class, const NewMessage& message) const = 0;
   // Finds a message by its id.
-  virtual Entry look(MessageId id) const = 0;
+  virtual Entry find_by_id(MessageId id) const = 0;
   // Calls `then` once the message would survive a crash of the relay.
-  virtual void when_taken(MessageId id, std::function<void()> then) = 0;
+  virtual void when_durable(MessageId id, std::function<void()> then) = 0;
   // Keeps the message's final answer for a later request, even where it has no idempotency key.
   virtual void keep_answer(MessageId id) = 0;
   // The final answer has been delivered to the client; it need not be stored any longer.
-  virtual void handed_over(MessageId id) = 0;
+  virtual void answer_delivered(MessageId id) = 0;
 };
 
 }  // namespace cedarplank::relay
--- a/src/sms/bind_link.cpp
+++ b/src/sms/bind_link.cpp
@@ -89,9 +89,11 @@
 }
 
 // No request is queued behind bytes that the endpoint has not read yet: it could no longer be cancelled.
-bool BindLink::can_send() const { return session_.can_request() && stream_->queued() == stream_->flushed(); }
+bool BindLink::can_send() const {
+  return session_.can_request() && stream_->bytes_written() == stream_->bytes_flushed();
+}
 
-std::optional<back::Link::Capacity> BindLink::room() {
+std::optional<back::Link::Capacity> BindLink::capacity() {
   if (!session_.bound()) return std::nullopt;
   return Capacity{static_cast<std::uint32_t>(kind_.window), !can_send()};
 }
@@ -121,7 +123,7 @@
 
 void BindLink::send_parts(relay::CallId id, SubmittedCall& out) {
   while (!out.unsent_parts.empty() && !out.failed && session_.can_request()) {
-    const std::uint64_t begin_offset = stream_->queued() + session_.output_size();
+    const std::uint64_t begin_offset = stream_->bytes_written() + session_.output_size();
     const auto n =
         session_.request(loop_.now(), smpp::Command::submit_sm, std::move(out.unsent_parts.front()));
     out.unsent_parts.pop_front();
@@ -259,7 +261,7 @@
   auto parts = out.part_results;
   for (const auto& [sequence, begin_offset] : out.outstanding_parts) {
     // If none of its bytes was handed to the kernel, the request certainly did not run.
-    const bool any_sent = stream_->flushed() > begin_offset;
+    const bool any_sent = stream_->bytes_flushed() > begin_offset;
     parts.push_back({any_sent ? Outcome::reset : Outcome::connect_failed, 0, {}, why, {}});
   }
   auto ending = result_of_parts(parts, out.unsent_parts.empty());
--- a/src/sms/bind_link.hpp
+++ b/src/sms/bind_link.hpp
@@ -33,7 +33,7 @@
   void ping() override;
   void close() override;
   void drop() override;
-  std::optional<Capacity> room() override;
+  std::optional<Capacity> capacity() override;
   relay::CallResult ending_when_lost(relay::CallId call, const std::string& why) override;
 
  private:
--- a/src/sms/smpp_server.cpp
+++ b/src/sms/smpp_server.cpp
@@ -100,7 +100,7 @@
   if (c.session.has_output() && c.stream) c.stream->write(c.session.take_output());
   // Reads no more requests from a client that does not read its responses, so that the output queued for it
   // stays bounded.
-  if (!c.paused && c.stream->queued() - c.stream->flushed() > kMaxUnreadBytes) {
+  if (!c.paused && c.stream->bytes_written() - c.stream->bytes_flushed() > kMaxUnreadBytes) {
     c.paused = true;
     c.stream->pause_reading(true);
   }
@@ -227,9 +227,9 @@
   const Time now = loop_.now();
   std::vector<ClientId> stalled;
   for (auto& [id, c] : clients_) {
-    const bool unsent = c->stream->queued() > c->stream->flushed();
-    if (!unsent || c->stream->flushed() != c->flushed_at_progress)
-      c->progress_at = now, c->flushed_at_progress = c->stream->flushed();
+    const bool unsent = c->stream->bytes_written() > c->stream->bytes_flushed();
+    if (!unsent || c->stream->bytes_flushed() != c->flushed_at_progress)
+      c->progress_at = now, c->flushed_at_progress = c->stream->bytes_flushed();
     if (now - c->progress_at > settings_.stalled_after) stalled.push_back(id);
   }
   for (const auto id : stalled) {
@@ -419,7 +419,7 @@
 
 void SmppServer::when_durable(MessageId id, ClientId client, std::function<void(Client&)> then) {
   if (host_.message_registry == nullptr || id == 0) return then(*clients_.at(client));
-  host_.message_registry->when_taken(id, [this, alive = alive_, client, then = std::move(then)] {
+  host_.message_registry->when_durable(id, [this, alive = alive_, client, then = std::move(then)] {
     if (!*alive) return;
     const auto it = clients_.find(client);
     if (it == clients_.end() || it->second->closing) return;
@@ -546,7 +546,7 @@
   if (wanted)
     receipts_.add(loop_.now(), s.client, encode_receipt(s.receipt), message);
   else if (host_.message_registry != nullptr && message != 0)
-    host_.message_registry->handed_over(message);
+    host_.message_registry->answer_delivered(message);
   send_receipts_soon();
 }
 
@@ -607,7 +607,7 @@
   const auto number = it->second;
   c.unanswered_receipts.erase(it);
   const auto done = [&](std::uint64_t message) {
-    if (host_.message_registry != nullptr && message != 0) host_.message_registry->handed_over(message);
+    if (host_.message_registry != nullptr && message != 0) host_.message_registry->answer_delivered(message);
   };
   if (status == st::ok) return done(receipts_.delivered(number));
   // No response, or a temporary error: the receipt is sent again. The client may get it twice, but it is not
@@ -637,7 +637,7 @@
     const bool receives =
         c.session.state() == smpp::State::receiver || c.session.state() == smpp::State::transceiver;
     return (receives && receipts_.waiting(c.settings->system_id) > 0) ||
-           c.stream->queued() != c.stream->flushed();
+           c.stream->bytes_written() != c.stream->bytes_flushed();
   });
 }
 
--- a/standin/http2_protocol.cpp
+++ b/standin/http2_protocol.cpp
@@ -44,7 +44,7 @@
     }
   }
   bool failed() const override { return h2_.failed(); }
-  std::size_t open() const override { return h2_.open_streams(); }
+  std::size_t open_calls() const override { return h2_.open_streams(); }
   void respond(std::uint32_t stream, int status, Time wait) override {
     http2::Headers headers = {{":status", std::to_string(status)}};
     if (status == 201)
@@ -52,12 +52,12 @@
     if (wait > 0) headers.push_back({"retry-after", std::to_string((wait + 999'999) / 1'000'000)});
     h2_.respond(stream, headers, "");
   }
-  void turn_back(std::uint32_t stream) override { h2_.reset(stream, http2::ErrorCode::refused_stream); }
+  void refuse(std::uint32_t stream) override { h2_.reset(stream, http2::ErrorCode::refused_stream); }
   void go_away(std::uint32_t stream) override { h2_.goaway_after(stream - 1, http2::ErrorCode::no_error); }
-  void say_goodbye() override { h2_.goaway(); }
-  void limit(int streams) override { h2_.limit_streams(static_cast<std::uint32_t>(streams)); }
+  void announce_shutdown() override { h2_.goaway(); }
+  void limit_calls(int streams) override { h2_.limit_streams(static_cast<std::uint32_t>(streams)); }
   std::string take_output() override { return h2_.has_output() ? h2_.take_output() : std::string(); }
-  std::string garbage() const override {
+  std::string foreign_bytes() const override {
     return "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
   }
 
--- a/standin/protocol.hpp
+++ b/standin/protocol.hpp
@@ -26,16 +26,16 @@
  public:
   virtual ~ServerProtocol() = default;
   virtual void receive(Time now, std::string_view bytes, std::vector<ReceivedCall>& calls) = 0;
-  virtual bool failed() const = 0;       // the connection can't be used any more
-  virtual std::size_t open() const = 0;  // calls without an answer
+  virtual bool failed() const = 0;             // the connection can't be used any more
+  virtual std::size_t open_calls() const = 0;  // calls without an answer
   virtual void respond(std::uint32_t stream, int status, Time wait) = 0;
-  virtual void turn_back(std::uint32_t stream) = 0;  // refuses the call at once, provably not run
+  virtual void refuse(std::uint32_t stream) = 0;  // refuses the call at once, provably not run
   // Refuses this call and all later ones on the connection (GOAWAY); earlier calls are finished.
   virtual void go_away(std::uint32_t stream) = 0;
-  virtual void say_goodbye() = 0;       // orderly shutdown (GOAWAY, unbind), as in a deploy
-  virtual void limit(int streams) = 0;  // most calls that may be open at once from now on
+  virtual void announce_shutdown() = 0;       // orderly shutdown (GOAWAY, unbind), as in a deploy
+  virtual void limit_calls(int streams) = 0;  // most calls that may be open at once from now on
   virtual std::string take_output() = 0;
-  virtual std::string garbage() const = 0;  // bytes that are not of this protocol
+  virtual std::string foreign_bytes() const = 0;  // bytes that are not of this protocol
 };
 
 struct ProtocolSettings {
--- a/standin/server.cpp
+++ b/standin/server.cpp
@@ -62,7 +62,7 @@
 
 void Endpoint::send_stream_limit() {
   for (auto& [id, p] : connections_) {
-    p->protocol->limit(destination_.partner().max_calls(settings_.id));
+    p->protocol->limit_calls(destination_.partner().max_calls(settings_.id));
     flush(*p);
   }
 }
@@ -71,7 +71,7 @@
   stopped_ = true;
   listener_.reset();
   for (auto& [id, p] : connections_) {
-    p->protocol->say_goodbye();
+    p->protocol->announce_shutdown();
     flush(*p);
   }
 }
@@ -103,7 +103,7 @@
                                                            settings_.id, id, false, sink_);
   p.id = id, p.last_used = loop_.now();
   connections_[id] = std::move(owned);
-  p.capture->note(loop_.now(), "OPEN");
+  p.capture->record_connection_event(loop_.now(), "OPEN");
   p.stream = std::make_unique<net::TcpStream>(
       loop_, std::move(fd),
       net::Stream::Handlers{.connected = {},
@@ -112,7 +112,7 @@
                             .closed = [this, id](const std::string&) { close_connection(id, false); }});
   if (decision == emulator::Partner::ConnectionDecision::garbage) {
     p.garbage = true;
-    p.stream->write(p.protocol->garbage());
+    p.stream->write(p.protocol->foreign_bytes());
     p.stream->finish(100'000);
     return;
   }
@@ -130,7 +130,7 @@
   if (p.dead || p.silent_until > loop_.now() || !destination_.partner().is_reading(settings_.id)) return;
   const std::string bytes = p.protocol->take_output();
   if (bytes.empty()) return;
-  p.capture->pass(loop_.now(), true, bytes);
+  p.capture->process_bytes(loop_.now(), true, bytes);
   p.stream->write(bytes);
 }
 
@@ -138,7 +138,7 @@
   const auto it = connections_.find(id);
   if (it == connections_.end()) return;
   // Recorded on arrival even if it is read after a pause: the relay has sent it by now.
-  it->second->capture->pass(loop_.now(), false, bytes);
+  it->second->capture->process_bytes(loop_.now(), false, bytes);
   if (destination_.partner().is_reading(settings_.id))
     read(id, bytes);
   else
@@ -169,15 +169,15 @@
     return;
   }
   if (call.status != 0) return respond(p.id, call.stream, call.status, 0);
-  carry_out(
-      p, call,
-      destination_.partner().call(settings_.id, loop_.now(),
-                                  {call.message, call.key, call.message_class, p.protocol->open() <= 1}));
+  carry_out(p, call,
+            destination_.partner().call(
+                settings_.id, loop_.now(),
+                {call.message, call.key, call.message_class, p.protocol->open_calls() <= 1}));
 }
 
 void Endpoint::carry_out(ClientConnection& p, const ReceivedCall& call, const emulator::CallPlan& plan) {
   using Kind = emulator::CallPlan::Kind;
-  if (plan.kind == Kind::refuse) return p.protocol->turn_back(call.stream);
+  if (plan.kind == Kind::refuse) return p.protocol->refuse(call.stream);
   if (plan.kind == Kind::go_away) {
     // This call and all later ones are refused; earlier calls are finished.
     p.goaway_sent = true, p.last_accepted = call.stream - 1;
@@ -208,7 +208,7 @@
   std::shared_ptr<ClientConnection> p(std::move(it->second));
   connections_.erase(it);
   p->stream->close(abort);
-  p->capture->note(loop_.now(), "CLOSE");
+  p->capture->record_connection_event(loop_.now(), "CLOSE");
   loop_.defer([p] {});
 }
 
--- a/standin/smsc_protocol.cpp
+++ b/standin/smsc_protocol.cpp
@@ -37,7 +37,7 @@
     }
   }
   bool failed() const override { return session_.state() == smpp::State::closed; }
-  std::size_t open() const override { return pending_.size(); }
+  std::size_t open_calls() const override { return pending_.size(); }
 
   void respond(std::uint32_t stream, int status, Time wait) override {
     const auto code = status == 201   ? st::ok
@@ -47,18 +47,18 @@
                                       : st::receiver_temporary;
     answer(stream, code, wait);
   }
-  void turn_back(std::uint32_t stream) override { answer(stream, st::queue_full, 0); }
+  void refuse(std::uint32_t stream) override { answer(stream, st::queue_full, 0); }
   void go_away(std::uint32_t stream) override {
-    say_goodbye();
+    announce_shutdown();
     answer(stream, st::wrong_bind_state, 0);
   }
-  void say_goodbye() override { session_.unbind(now_); }
-  void limit(int streams) override { max_open_ = streams; }
+  void announce_shutdown() override { session_.unbind(now_); }
+  void limit_calls(int streams) override { max_open_ = streams; }
   std::string take_output() override {
     if (session_.has_output()) output_ += session_.take_output();
     return std::exchange(output_, std::string());
   }
-  std::string garbage() const override { return std::string("\0\0\0\x03not SMPP at all", 19); }
+  std::string foreign_bytes() const override { return std::string("\0\0\0\x03not SMPP at all", 19); }
 
  private:
   static smpp::SessionSettings settings() {
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -249,8 +249,8 @@
   std::vector<CaptureRecord> seen;
   record::Http2WireCapture capture(CaptureRecord::Side::client, "r", 1, true,
                                    [&](CaptureRecord&& r) { seen.push_back(std::move(r)); });
-  for (const char c : up) capture.pass(1, true, {&c, 1});
-  for (const char c : down) capture.pass(2, false, {&c, 1});
+  for (const char c : up) capture.process_bytes(1, true, {&c, 1});
+  for (const char c : down) capture.process_bytes(2, false, {&c, 1});
   ASSERT_EQ(seen.size(), 3u);
   EXPECT_EQ(seen[0].fields.at(":path"), "/push/d/pay");
   EXPECT_EQ(seen[1].message, "m-7.0");
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -41,12 +41,12 @@
   Time come_back = 0;
   void send(const OutgoingCall& c) override { sent.push_back(c); }
   CancelResult cancel(CallId c) override { return cancelled.push_back(c), how; }
-  bool take_back(CallId c) override {
+  bool cancel_unsent(CallId c) override {
     if (std::find(waiting.begin(), waiting.end(), c) == waiting.end()) return false;
     std::erase(waiting, c);
     return true;
   }
-  std::vector<CallId> recall(const EndpointId&) override { return std::exchange(waiting, {}); }
+  std::vector<CallId> cancel_all_unsent(const EndpointId&) override { return std::exchange(waiting, {}); }
   void close_idle(const EndpointId&) override {}
   void probe(const EndpointId&) override {}
   void served(MessageId id, const CallResult&) override { answers[id] += "served "; }
@@ -56,7 +56,7 @@
   void failed(MessageId id, const AttemptSummary&) override { answers[id] += "failed "; }
   void fetch() override {}
   void subscribe(bool) override {}
-  void tell(int, const std::string&) override {}
+  void send_note(int, const std::string&) override {}
   void line(const std::string&) override {}
 
   Settings settings;
--- a/tests/journal_crash_test.cpp
+++ b/tests/journal_crash_test.cpp
@@ -147,8 +147,8 @@
     calls_.erase(id);
     return CancelResult::sent;
   }
-  bool take_back(relay::CallId) override { return false; }
-  std::vector<relay::CallId> recall(const EndpointId&) override { return {}; }
+  bool cancel_unsent(relay::CallId) override { return false; }
+  std::vector<relay::CallId> cancel_all_unsent(const EndpointId&) override { return {}; }
   void close_idle(const EndpointId&) override {}
   void probe(const EndpointId&) override {}
   // relay::AnswerSink
@@ -157,7 +157,7 @@
   void failed(MessageId id, const relay::AttemptSummary&) override { answer(id, 'f'); }
   void fetch() override {}
   void subscribe(bool) override {}
-  void tell(int, const std::string&) override {}
+  void send_note(int, const std::string&) override {}
   void line(const std::string&) override {}
 
  private:
--- a/tests/journal_model_test.cpp
+++ b/tests/journal_model_test.cpp
@@ -87,7 +87,7 @@
         auto& c = clients_[static_cast<std::size_t>(s.a)];
         c.id = id;
         held_[id] = {s.a, 0, false, 0};
-        keeper_->taken(id, message, 10'000);
+        keeper_->message_accepted(id, message, 10'000);
         keeper_->when_durable(id,
                               [this, m = s.a] { clients_[static_cast<std::size_t>(m)].acknowledged = true; });
         break;
@@ -134,7 +134,7 @@
         end(id, kOutcomes[s.b], s.b == 2 ? 1'000 : 0);
         // As the core does: sends that wait for the journal are cancelled too.
         if (s.b == 2 && !plan_.no_recall)
-          for (const auto other : keeper_->recall("e")) end(other, Outcome::not_sent, 0);
+          for (const auto other : keeper_->cancel_all_unsent("e")) end(other, Outcome::not_sent, 0);
         break;
       }
       case 'c':
@@ -145,7 +145,7 @@
         break;
       case 'w':
         told_ = wait_known_ = wait_survived_ = false, now_ = 5'000;
-        keeper_->at(now_);
+        keeper_->set_time(now_);
         break;
       default:
         break;
@@ -187,8 +187,8 @@
     calls_.at(call).ours = false;
     return CancelResult::sent;
   }
-  bool take_back(relay::CallId) override { return false; }
-  std::vector<relay::CallId> recall(const EndpointId&) override { return {}; }
+  bool cancel_unsent(relay::CallId) override { return false; }
+  std::vector<relay::CallId> cancel_all_unsent(const EndpointId&) override { return {}; }
   void close_idle(const EndpointId&) override {}
   void probe(const EndpointId&) override {}
   // relay::AnswerSink
@@ -232,7 +232,7 @@
   void end(relay::CallId id, Outcome outcome, Time told) {
     const auto [message, attempt] = sent_.at(id);
     if (told > 0) heard_ = true;
-    keeper_->ended({id, "e", message, attempt, 0, nullptr}, {outcome, told, {}, "", {}});
+    keeper_->attempt_ended({id, "e", message, attempt, 0, nullptr}, {outcome, told, {}, "", {}});
     const auto it = held_.find(message);
     if (it == held_.end() || it->second.out != id) return;
     it->second.out = 0;
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -162,7 +162,7 @@
   TcpStream::limit_io_size(0);
   EXPECT_EQ(got, text);
   EXPECT_EQ(why, "closed by the peer");
-  EXPECT_EQ(client.flushed(), client.queued());
+  EXPECT_EQ(client.bytes_flushed(), client.bytes_written());
 }
 
 // poll(2) reports that a peer has gone whatever events are requested. A stream that is not being read must
--- a/tests/platform_crossings_test.cpp
+++ b/tests/platform_crossings_test.cpp
@@ -99,10 +99,10 @@
   keep_one_connection();
   order(1, "m-1", 1'000'000), order(2, "m-2", 1'000'000);
   transport->flush();
-  EXPECT_TRUE(transport->take_back(2));
+  EXPECT_TRUE(transport->cancel_unsent(2));
   ASSERT_TRUE(run_until([&] { return ends.count(1) > 0; }));
   EXPECT_EQ(call_count("m-2"), 0u);
-  EXPECT_FALSE(transport->take_back(2));
+  EXPECT_FALSE(transport->cancel_unsent(2));
 }
 
 // The message with the longest attempt timeout is named first: when its time is up, so is that of the others.
--- a/tests/platform_journal_test.cpp
+++ b/tests/platform_journal_test.cpp
@@ -35,8 +35,8 @@
  public:
   void send(const relay::OutgoingCall& call) override { sent.insert(call.message_id); }
   CancelResult cancel(relay::CallId) override { return CancelResult::sent; }
-  bool take_back(relay::CallId) override { return false; }
-  std::vector<relay::CallId> recall(const EndpointId&) override { return {}; }
+  bool cancel_unsent(relay::CallId) override { return false; }
+  std::vector<relay::CallId> cancel_all_unsent(const EndpointId&) override { return {}; }
   void close_idle(const EndpointId&) override {}
   void probe(const EndpointId&) override {}
   void served(MessageId id, const relay::CallResult&) override { answered.insert(id); }
@@ -67,8 +67,8 @@
   auto message = std::make_shared<relay::NewMessage>();
   message->owner = "m-" + std::to_string(id), message->body = "hello", message->message_class = 1;
   auto& coordinator = journal.coordinator();
-  coordinator.at(now);
-  coordinator.taken(id, message, now + kHour);
+  coordinator.set_time(now);
+  coordinator.message_accepted(id, message, now + kHour);
   journal.commit();
   if (!journal.stalled()) host.acknowledged.insert(id);
   relay::OutgoingCall call;
@@ -187,7 +187,7 @@
   for (const auto& [id, left] : {std::pair<MessageId, Time>{1, -1}, {2, kHour}}) {
     auto message = std::make_shared<relay::NewMessage>();
     message->owner = "m-" + std::to_string(id);
-    coordinator.taken(id, message, loop.now() + left);
+    coordinator.message_accepted(id, message, loop.now() + left);
   }
   journal->commit();
   files.before_call = [](const char*) { return std::make_error_code(std::errc::io_error); };
--- a/tests/service.hpp
+++ b/tests/service.hpp
@@ -55,7 +55,7 @@
     http2::Headers all = {{":method", method}, {":scheme", "http"}, {":authority", "relay"}, {":path", path}};
     all.insert(all.end(), more.begin(), more.end());
     const auto id = h2.request(all, body);
-    if (stream->flushed() > 0) flush();
+    if (stream->bytes_flushed() > 0) flush();
     return id;
   }
   void handle_event(http2::Event& e) {
