--- a/src/store/inspect.hpp
+++ b/src/store/inspect.hpp
@@ -29,7 +29,7 @@
 };
 // Reads every record that can still be read, in order, skipping damaged parts. Segments with a damaged header
 // are read with the log id of the others. `unreadable`: whether the records of a segment whose file can't be
-// read now count as lost, or the call ends with a problem (LogProblem::What::io), because reading may succeed
+// read now count as lost, or the call ends with a problem (LogProblem::Kind::io), because reading may succeed
 // later.
 enum class UnreadableSegments { lost, problem };
 SalvageResult salvage(Files& files, const std::function<void(Sequence, std::string_view)>& record,
--- a/src/store/writer.hpp
+++ b/src/store/writer.hpp
@@ -70,7 +70,7 @@
   bool nearly_full(std::size_t segments, std::size_t queued) const;
   void run();
   void set_state(State state, const std::string& why);
-  void post_notification();  // posts Ports::changed, once until it has run
+  void post_notification();  // posts Ports::on_change, once until it has run
   bool commit_all(std::vector<std::string>& records, std::unique_lock<std::mutex>& lock);
 
   std::unique_ptr<Files> files_;
